--- a/crates/rudder-gateway/src/dialect.rs
+++ b/crates/rudder-gateway/src/dialect.rs
@@ -176,7 +176,7 @@
 
 /// Who asks which instances to use.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Whence {
+pub struct EntriesQuery {
     /// The hall next to the caller.
     pub hall: Option<String>,
     /// The region that the caller is in.
@@ -191,7 +191,7 @@
     /// Whether this instance takes callers.
     Ready,
     /// Which instances to use, for this caller.
-    Entries(Whence),
+    Entries(EntriesQuery),
     /// Replace the configuration document.
     Replace,
     /// Read the configuration document.
--- a/crates/rudder-gateway/src/operate.rs
+++ b/crates/rudder-gateway/src/operate.rs
@@ -15,7 +15,7 @@
 use crate::{
     Dialect, Operation,
     body::AnswerBody,
-    dialect::{ReportError, Whence},
+    dialect::{EntriesQuery, ReportError},
     shared::{Reply, Shared},
 };
 
@@ -54,7 +54,7 @@
 ) -> Response<AnswerBody> {
     match shared.dialect.read_operation(request.method(), request.uri()) {
         Operation::Ready => empty(if shared.is_ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }),
-        Operation::Entries(whence) => entries(&shared, &whence),
+        Operation::Entries(query) => entries(&shared, &query),
         Operation::Replace => replace(&shared, request.into_body()).await,
         Operation::Read => read(&shared, arrived).await,
         Operation::Heartbeat(endpoint) => heartbeat(&shared, &endpoint, request.into_body()).await,
@@ -65,8 +65,8 @@
     }
 }
 
-fn entries<D: Dialect>(shared: &Shared<D>, whence: &Whence) -> Response<AnswerBody> {
-    let addresses = shared.to_entries(whence);
+fn entries<D: Dialect>(shared: &Shared<D>, query: &EntriesQuery) -> Response<AnswerBody> {
+    let addresses = shared.to_entries(query);
     if addresses.is_empty() {
         return empty(StatusCode::SERVICE_UNAVAILABLE);
     }
--- a/crates/rudder-gateway/src/shared.rs
+++ b/crates/rudder-gateway/src/shared.rs
@@ -26,7 +26,7 @@
     call::to_hex,
     choose::{Choice, Fields},
     contents::{Contents, REFUSED_FOR},
-    dialect::Whence,
+    dialect::EntriesQuery,
     health::Health,
     holdings::Holdings,
     limits::{Limits, Permit},
@@ -464,26 +464,26 @@
 
     /// Addresses for a caller: those of its hall, those of its region where the hall has fewer than two, or those of the
     /// regions that all routes of its host are bound to; all where there are none of these.
-    pub fn to_entries(&self, whence: &Whence) -> Vec<Arc<str>> {
+    pub fn to_entries(&self, query: &EntriesQuery) -> Vec<Arc<str>> {
         let view = self.view.borrow();
         let places = self.places.borrow();
         let live: Vec<&Listing> = view.entries.iter().filter(|listing| listing.takes_callers()).collect();
         let pick = |is_meant: &dyn Fn(&Listing) -> bool| -> Vec<&Listing> {
             live.iter().copied().filter(|listing| is_meant(listing)).collect()
         };
-        let near = pick(&|listing| whence.hall.as_deref() == Some(&*listing.hall));
+        let near = pick(&|listing| query.hall.as_deref() == Some(&*listing.hall));
         if near.len() >= NEAR_LEAST {
             return to_addresses(&near);
         }
-        let region = whence.hall.as_deref().and_then(|hall| places.region_of(hall)).map(|region| &**region);
-        let region = region.or(whence.region.as_deref());
+        let region = query.hall.as_deref().and_then(|hall| places.region_of(hall)).map(|region| &**region);
+        let region = region.or(query.region.as_deref());
         let of_region =
             pick(&|listing| region.is_some() && places.region_of(&listing.hall).map(|held| &**held) == region);
         if !of_region.is_empty() {
             return to_addresses(&of_region);
         }
         let plan = self.current_plan();
-        let residency = plan.zip(whence.host.as_deref()).and_then(|(plan, host)| plan.residency_of_host(host));
+        let residency = plan.zip(query.host.as_deref()).and_then(|(plan, host)| plan.residency_of_host(host));
         let resident = pick(&|listing| residency.is_some() && places.allows(residency.as_deref(), &listing.hall));
         to_addresses([&resident, &near, &live].into_iter().find(|listings| !listings.is_empty()).unwrap_or(&live))
     }
