--- a/crates/rudder-gateway/src/driver.rs
+++ b/crates/rudder-gateway/src/driver.rs
@@ -154,7 +154,7 @@
 fn to_core(options: &Options) -> rudder_core::Options {
     rudder_core::Options {
         seats: options.seeds.clone(),
-        founders: if options.found { options.seeds.clone() } else { Vec::new() },
+        founders: if options.bootstrap { options.seeds.clone() } else { Vec::new() },
         watch: options.watch,
         fresh: options.fresh,
         gone: Duration::from_millis(800),
--- a/crates/rudder-gateway/src/options.rs
+++ b/crates/rudder-gateway/src/options.rs
@@ -60,7 +60,7 @@
     /// Instances to start from: their addresses for other instances.
     pub seeds: Vec<InstanceId>,
     /// The system starts for the first time, so the seeds found the log.
-    pub found: bool,
+    pub bootstrap: bool,
     /// The data folder, where there is a disk.
     pub data: Option<PathBuf>,
     /// Voters wanted.
@@ -111,7 +111,7 @@
             hall,
             regions: BTreeMap::new(),
             seeds: Vec::new(),
-            found: false,
+            bootstrap: false,
             data: None,
             voters: 3,
             fresh: Duration::from_millis(4500),
