--- a/crates/rudder-gateway/src/call/permit.rs
+++ b/crates/rudder-gateway/src/call/permit.rs
@@ -76,7 +76,7 @@
 ) -> Result<(), Refusal> {
     let come_back = shared.options.recover;
     let refusal = |why| stopped(progress, why, come_back);
-    if !shared.is_fresh(shared.options.fresh) {
+    if !shared.is_fresh(shared.options.max_proof_age) {
         return Err(refusal("the configuration may be old"));
     }
     let Some(plan) = shared.current_plan() else { return Err(refusal("no configuration yet")) };
--- a/crates/rudder-gateway/src/driver.rs
+++ b/crates/rudder-gateway/src/driver.rs
@@ -156,7 +156,7 @@
         seats: options.seeds.clone(),
         founders: if options.bootstrap { options.seeds.clone() } else { Vec::new() },
         watch: options.watch,
-        fresh: options.fresh,
+        fresh: options.max_proof_age,
         gone: Duration::from_millis(800),
         keep: options.keep,
         snapshot_bytes: SNAPSHOT,
--- a/crates/rudder-gateway/src/options.rs
+++ b/crates/rudder-gateway/src/options.rs
@@ -66,7 +66,7 @@
     /// Voters wanted.
     pub voters: usize,
     /// No keyed request starts without proof of the configuration this young.
-    pub fresh: Duration,
+    pub max_proof_age: Duration,
     /// A request is told that its route or key does not exist only with proof this young.
     pub fresh_denial: Duration,
     /// How long callers may keep the list of entries.
@@ -114,7 +114,7 @@
             bootstrap: false,
             data: None,
             voters: 3,
-            fresh: Duration::from_millis(4500),
+            max_proof_age: Duration::from_millis(4500),
             fresh_denial: Duration::from_millis(1500),
             keep: Duration::from_secs(4),
             keep_stretch: 3,
--- a/crates/rudder-gateway/src/shared.rs
+++ b/crates/rudder-gateway/src/shared.rs
@@ -285,7 +285,7 @@
     /// True while this instance takes callers.
     pub fn is_ready(&self) -> bool {
         let serving = *self.stage.borrow() == Stage::Serving;
-        serving && self.current_plan().is_some() && self.is_fresh(self.options.fresh)
+        serving && self.current_plan().is_some() && self.is_fresh(self.options.max_proof_age)
     }
 
     /// The plan in force, if one is known.
