--- a/crates/rudder-gateway/src/call/attempt.rs
+++ b/crates/rudder-gateway/src/call/attempt.rs
@@ -54,7 +54,7 @@
     let drained = timeout_at(call.until, Limited::new(body, WHOLE).collect()).await;
     drop(flight);
     if matches!(drained, Ok(Ok(_))) && !misdirected {
-        put_back(shared, &choice.endpoint, connection, head.keep);
+        put_back(shared, &choice.endpoint, connection, head.keep_alive);
     }
 }
 
@@ -185,10 +185,10 @@
         record_pushback(shared, &choice.endpoint, pushback);
     }
     // What an answer to another request does not say is no news.
-    if head.own || head.limit != LimitNotice::Unlimited {
+    if head.id_matches || head.limit != LimitNotice::Unlimited {
         record_limit(shared, &choice.endpoint, head.limit, now);
     }
-    if !head.own {
+    if !head.id_matches {
         note_outcome(shared, &choice.endpoint, Outcome::Failed);
         log_failure(shared, call, progress, &choice, "it answered another request", Ran::Unknown);
         return Err(Failure::Lost("the endpoint answered another request"));
--- a/crates/rudder-gateway/src/call/send.rs
+++ b/crates/rudder-gateway/src/call/send.rs
@@ -115,7 +115,7 @@
         }
         Err(_) => return Err(Failure::Late),
     };
-    put_back(shared, &choice.endpoint, connection, head.keep);
+    put_back(shared, &choice.endpoint, connection, head.keep_alive);
     let good = !parts.status.is_server_error();
     note_outcome(shared, &choice.endpoint, if good { Outcome::Good } else { Outcome::Failed });
     if parts.status.is_success() {
--- a/crates/rudder-gateway/src/dialect.rs
+++ b/crates/rudder-gateway/src/dialect.rs
@@ -140,13 +140,13 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AnswerHead {
     /// It answers the request whose id was sent.
-    pub own: bool,
+    pub id_matches: bool,
     /// The endpoint says that it did not run the request.
     pub not_run: bool,
     /// It was meant for another endpoint.
     pub misdirected: bool,
     /// How long the connection may rest.
-    pub keep: Option<Duration>,
+    pub keep_alive: Option<Duration>,
     /// What the endpoint asks of this instance.
     pub pushback: Option<Pushback>,
     /// What it says of its rate limit.
--- a/crates/rudder-gateway/src/stream.rs
+++ b/crates/rudder-gateway/src/stream.rs
@@ -239,7 +239,7 @@
             return End::Broken;
         }
         call::note_outcome(self.shared, &choice.endpoint, Outcome::Good);
-        call::put_back(self.shared, &choice.endpoint, connection, head.keep);
+        call::put_back(self.shared, &choice.endpoint, connection, head.keep_alive);
         End::Whole
     }
 
