--- a/crates/rudder-gateway/src/call/mod.rs
+++ b/crates/rudder-gateway/src/call/mod.rs
@@ -237,13 +237,13 @@
         let organisation = self.organisation.as_deref();
         let forward = Forward {
             endpoint: name_of(&choice.endpoint, choice.born),
-            left,
+            remaining: left,
             organisation,
             tier,
             last_event: from.last_event,
-            copy_at: choice.keeper.as_ref().map(|keeper| &*keeper.address),
+            copy_to: choice.keeper.as_ref().map(|keeper| &*keeper.address),
             fetch_from: choice.fetch_from.as_deref().filter(|_| !from.copy),
-            from_copy: from.copy.then_some(&*choice.address),
+            resume_from: from.copy.then_some(&*choice.address),
         };
         dialect.write_forward(&mut headers, &forward);
         let mut request = Request::new(Full::new(self.body.clone()));
--- a/crates/rudder-gateway/src/dialect.rs
+++ b/crates/rudder-gateway/src/dialect.rs
@@ -121,7 +121,7 @@
     /// The endpoint meant; any other refuses.
     pub endpoint: &'a str,
     /// How long the answer is waited for.
-    pub left: Duration,
+    pub remaining: Duration,
     /// The organisation that holds the caller's key.
     pub organisation: Option<&'a str>,
     /// Rank among the engine's requests; 0 is the highest.
@@ -129,11 +129,11 @@
     /// Last event that the caller has already.
     pub last_event: Option<u64>,
     /// Address of the endpoint that shall keep a copy of the request's memory while it runs.
-    pub copy_at: Option<&'a str>,
+    pub copy_to: Option<&'a str>,
     /// Address of the endpoint from which the one meant takes what that keeps of the prompt, before it reads the rest.
     pub fetch_from: Option<&'a str>,
     /// Address under which the endpoint meant keeps the copy that the request goes on from.
-    pub from_copy: Option<&'a str>,
+    pub resume_from: Option<&'a str>,
 }
 
 /// What an endpoint's answer says beside its content.
