--- a/crates/rudder-gateway/benches/choice.rs
+++ b/crates/rudder-gateway/benches/choice.rs
@@ -97,7 +97,7 @@
 fn prompt(session: u64) -> Prompt {
     let parts = [(1, 2_500), (session, 3_800), (session << 20, 2_900)];
     let parts = parts.into_iter().map(|(id, tokens)| PromptPart { id, tokens }).collect();
-    Prompt { tokens: 9_200, answer: 50, guess: None, parts }
+    Prompt { tokens: 9_200, max_answer: 50, answer_hint: None, parts }
 }
 
 fn choose_on(bencher: Bencher, scene: &Scene, path: &str, prompt: Option<&Prompt>) {
--- a/crates/rudder-gateway/src/dialect.rs
+++ b/crates/rudder-gateway/src/dialect.rs
@@ -69,9 +69,9 @@
     /// Tokens of the prompt.
     pub tokens: u32,
     /// Tokens generated at most.
-    pub answer: u32,
+    pub max_answer: u32,
     /// The caller's guess of the tokens generated.
-    pub guess: Option<u32>,
+    pub answer_hint: Option<u32>,
     /// Its parts in order; the last one is the request's own or its session's.
     pub parts: Vec<PromptPart>,
 }
@@ -90,7 +90,7 @@
 
     /// Tokens that will be generated, as far as the caller can tell.
     pub fn expected_answer(&self) -> u32 {
-        self.guess.unwrap_or(self.answer)
+        self.answer_hint.unwrap_or(self.max_answer)
     }
 
     /// Tokens that no other request shares.
--- a/crates/rudder-gateway/tests/places.rs
+++ b/crates/rudder-gateway/tests/places.rs
@@ -91,8 +91,8 @@
     fn choose(&self, homes: &[&str]) -> Option<Choice> {
         let prompt = Prompt {
             tokens: 5_000,
-            answer: 1_000,
-            guess: None,
+            max_answer: 1_000,
+            answer_hint: None,
             parts: vec![PromptPart { id: 1, tokens: 2_000 }, PromptPart { id: 2, tokens: 2_000 }],
         };
         let prompt = self.known.plan.services["svc"].engine.map(|_| &prompt);
--- a/crates/rudder-gateway/tests/policy.rs
+++ b/crates/rudder-gateway/tests/policy.rs
@@ -60,7 +60,7 @@
 fn prompt(session: u64) -> Prompt {
     let part = |id, tokens| PromptPart { id, tokens };
     let parts = vec![part(1, 2500), part(session, 3800), part(session * 1000, 2900)];
-    Prompt { tokens: 9200, answer: 200, guess: None, parts }
+    Prompt { tokens: 9200, max_answer: 200, answer_hint: None, parts }
 }
 
 fn load(endpoint: &str, calls: u32, unread: u32) -> Load {
@@ -450,8 +450,8 @@
 #[test]
 fn only_long_quick_streams_have_their_memory_copied() {
     let scene = Scene::new();
-    let keeper = |path: &str, guess: Option<u32>| {
-        let prompt = Prompt { answer: 2000, guess, ..prompt(5) };
+    let keeper = |path: &str, answer_hint: Option<u32>| {
+        let prompt = Prompt { max_answer: 2000, answer_hint, ..prompt(5) };
         let choice = scene.choice(path, &prompt, &[]).expect("a choice");
         choice.keeper.map(|keeper| (keeper.endpoint != choice.endpoint, keeper.address.to_string()))
     };
@@ -467,7 +467,7 @@
     let mut scene = Scene::new();
     let engine = Engine { slots: 64, memory: 300_000, copies: true, event_tokens: 6, move_speed: 280.0 };
     scene.known.plan.services.get_mut("svc").expect("it is there").engine = Some(engine);
-    let prompt = Prompt { answer: 2000, ..prompt(5) };
+    let prompt = Prompt { max_answer: 2000, ..prompt(5) };
     assert_eq!(scene.choice("/grade/", &prompt, &[]).expect("a choice").keeper, None);
 }
 
