--- a/crates/rudder-gateway/src/stream.rs
+++ b/crates/rudder-gateway/src/stream.rs
@@ -43,7 +43,7 @@
 
 impl Events {
     /// Adds bytes and returns the whole events that they complete.
-    pub fn take(&mut self, bytes: &[u8]) -> Bytes {
+    pub fn push(&mut self, bytes: &[u8]) -> Bytes {
         self.pending.extend_from_slice(bytes);
         let Some(end) = find_last_end(&self.pending) else { return Bytes::new() };
         let whole = self.pending.split_to(end).freeze();
@@ -225,7 +225,7 @@
                 began = true;
                 call::note_begun(self.shared, &self.call, &mut self.progress, Moment::now());
             }
-            let whole = self.events.take(&bytes);
+            let whole = self.events.push(&bytes);
             let part = if whole_events { whole } else { bytes };
             if part.is_empty() {
                 continue;
--- a/crates/rudder-gateway/tests/policy.rs
+++ b/crates/rudder-gateway/tests/policy.rs
@@ -540,7 +540,7 @@
         let mut events = Events::default();
         let mut passed = Vec::new();
         for piece in text.chunks(size) {
-            passed.extend_from_slice(&events.take(piece));
+            passed.extend_from_slice(&events.push(piece));
         }
         assert_eq!((events.count, events.last), (3, Some(7)), "pieces of {size}");
         assert_eq!(passed, &text[..text.len() - 8], "pieces of {size}");
