--- a/crates/rudder-core/src/calls/mod.rs
+++ b/crates/rudder-core/src/calls/mod.rs
@@ -8,7 +8,7 @@
 use rudder_events::What;
 use rudder_ledger::Attempt;
 use rudder_model::{Class, ClassId, EndpointId, InstanceId, OrgId, Promises, Ran, RequestId};
-use rudder_route::Ask;
+use rudder_route::SlotRequest;
 
 pub mod admit;
 mod end;
@@ -107,11 +107,11 @@
         self.pools.get(self.at)
     }
 
-    fn to_ask(&self, context: &Context) -> Option<Ask> {
+    fn to_ask(&self, context: &Context) -> Option<SlotRequest> {
         let pool = self.pool()?;
         let reach = reach::in_pool(&context.view.config, &self.class_id, &self.org, &self.arrival.model, pool);
-        Some(Ask {
-            request: self.arrival.request,
+        Some(SlotRequest {
+            id: self.arrival.request,
             entry: context.me.name.clone(),
             class: self.class_id.clone(),
             tier: self.class.tier,
--- a/crates/rudder-core/src/peer.rs
+++ b/crates/rudder-core/src/peer.rs
@@ -5,7 +5,7 @@
 use rudder_ledger::{Answer, Attempt, Command, Delta, Document, Evacuations, Patch, QuarantineNews};
 use rudder_model::{EndpointId, EndpointTag, HallId, InstanceId, ModelId, Refusal, RequestId, Start};
 use rudder_replica::{Envelope, Members, ReplicaId};
-use rudder_route::{Ask, Ending, Holding};
+use rudder_route::{Ending, Holding, SlotRequest};
 use serde::{Deserialize, Serialize};
 
 use crate::{
@@ -326,7 +326,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToPool {
     /// Wants a slot.
-    Ask(Ask),
+    Ask(SlotRequest),
     /// The caller left, or another pool serves the request.
     Withdraw(RequestId),
     /// The first token came.
--- a/crates/rudder-measure/src/cost.rs
+++ b/crates/rudder-measure/src/cost.rs
@@ -6,7 +6,7 @@
 };
 
 use rudder_model::{EndpointId, Limits, RequestId};
-use rudder_route::{Ask, Ending, Options, Pool, Spec};
+use rudder_route::{Ending, Options, Pool, SlotRequest, Spec};
 
 /// Requests timed at each size.
 const REQUESTS: u32 = 20_000;
@@ -39,9 +39,9 @@
     start.elapsed() / REQUESTS
 }
 
-fn to_ask(request: RequestId, reach: &Arc<[EndpointId]>) -> Ask {
-    Ask {
-        request,
+fn to_ask(request: RequestId, reach: &Arc<[EndpointId]>) -> SlotRequest {
+    SlotRequest {
+        id: request,
         entry: "entry".into(),
         class: "chat".into(),
         tier: 0,
--- a/crates/rudder-measure/src/run.rs
+++ b/crates/rudder-measure/src/run.rs
@@ -5,7 +5,7 @@
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg32;
 use rudder_model::{ClassId, EndpointId, Limits, OrgId, RefusalCode, RequestId};
-use rudder_route::{Ask, Decision, Ending, Pool, Spec};
+use rudder_route::{Decision, Ending, Pool, SlotRequest, Spec};
 
 use crate::{
     engine::Engine,
@@ -189,8 +189,8 @@
             self.names.as_slice().into()
         };
         let waited = self.now.saturating_sub(call.arrived);
-        let ask = Ask {
-            request,
+        let ask = SlotRequest {
+            id: request,
             entry: "entry".into(),
             class: ClassId::from(stream.class.as_str()),
             tier: stream.tier,
--- a/crates/rudder-route/src/admit.rs
+++ b/crates/rudder-route/src/admit.rs
@@ -4,7 +4,7 @@
 
 use rudder_model::{Refusal, RefusalCode, RequestId};
 
-use crate::{Ask, Decision, Pool, options::Order, queue::Waiting};
+use crate::{Decision, Pool, SlotRequest, options::Order, queue::Waiting};
 
 /// Shortest time after which a refused caller is told to come back.
 const RETRY_FLOOR: Duration = Duration::from_millis(500);
@@ -12,7 +12,7 @@
 impl Pool {
     /// Expected wait of a new request of `tier`: the work of its own and higher tiers that waits,
     /// spread over the slots it reaches. Lower tiers never count, so they never cause a refusal.
-    pub fn expected_wait(&self, now: Duration, ask: &Ask) -> Duration {
+    pub fn expected_wait(&self, now: Duration, ask: &SlotRequest) -> Duration {
         let slots: u32 = self.usable(now, ask).map(|site| site.slots).sum();
         if slots == 0 {
             return Duration::MAX;
@@ -35,7 +35,7 @@
 
     /// Half a holding time for each slot that is taken by the own tier or above: on average, half of
     /// the running work is still to come. What can be preempted does not count.
-    fn work_running(&self, ask: &Ask) -> f64 {
+    fn work_running(&self, ask: &SlotRequest) -> f64 {
         let mut work = 0.0;
         for site in self.reachable(ask) {
             for running in site.running.values() {
@@ -51,7 +51,7 @@
     }
 
     /// Refuses a new request that a limit or the expected wait forbids.
-    pub(crate) fn refusal_of(&mut self, now: Duration, ask: &Ask) -> Option<Refusal> {
+    pub(crate) fn refusal_of(&mut self, now: Duration, ask: &SlotRequest) -> Option<Refusal> {
         if self.reachable(ask).next().is_none() {
             let text = "no endpoint that this class reaches is in use";
             return Some(Refusal::not_run(RefusalCode::NotAllowed, text, None));
@@ -79,7 +79,7 @@
         let mut late: Vec<RequestId> = Vec::new();
         for waiting in self.queue.iter() {
             if waiting.until <= now {
-                late.push(waiting.ask.request);
+                late.push(waiting.ask.id);
             }
         }
         if self.options.refuse {
@@ -105,7 +105,7 @@
             let slots: u32 = self.usable(now, &head.ask).map(|site| site.slots).sum();
             if slots == 0 && self.reachable(&head.ask).all(|site| !site.health.probing) {
                 // Nothing here will serve it; its entry may find another hall.
-                late.extend(queue.iter().map(|waiting| waiting.ask.request));
+                late.extend(queue.iter().map(|waiting| waiting.ask.id));
                 continue;
             }
             let higher = self.queue.classes.values().filter(|other| other.tier < queue.tier);
@@ -116,7 +116,7 @@
             for waiting in line {
                 let left = waiting.until.saturating_sub(now).as_secs_f64();
                 if slots > 0 && ahead / f64::from(slots) > left && waiting.until > now {
-                    late.push(waiting.ask.request);
+                    late.push(waiting.ask.id);
                     continue;
                 }
                 ahead += hold;
--- a/crates/rudder-route/src/ask.rs
+++ b/crates/rudder-route/src/ask.rs
@@ -7,9 +7,9 @@
 
 /// A request that wants a slot.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Ask {
+pub struct SlotRequest {
     /// The request.
-    pub request: RequestId,
+    pub id: RequestId,
     /// The entry instance that holds the caller.
     pub entry: InstanceId,
     /// Its class.
@@ -117,7 +117,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Holding {
     /// What was asked.
-    pub ask: Ask,
+    pub ask: SlotRequest,
     /// Where it runs.
     pub endpoint: EndpointId,
 }
--- a/crates/rudder-route/src/pool.rs
+++ b/crates/rudder-route/src/pool.rs
@@ -9,7 +9,7 @@
 use rudder_model::{ClassId, EndpointId, InstanceId, OrgId, Promises, Refusal, RefusalCode, RequestId};
 
 use crate::{
-    Ask, Decision, Ending, Holding, Options, Site, Spec,
+    Decision, Ending, Holding, Options, Site, SlotRequest, Spec,
     estimate::Estimates,
     limit::Usage,
     queue::{Queue, Waiting},
@@ -84,22 +84,22 @@
     }
 
     /// Gives every waiting request the reach that configuration now allows it.
-    pub fn set_reach(&mut self, reach: impl Fn(&Ask) -> Arc<[EndpointId]>) {
+    pub fn set_reach(&mut self, reach: impl Fn(&SlotRequest) -> Arc<[EndpointId]>) {
         self.queue.for_each_ask(|ask| ask.reach = reach(ask));
     }
 
     /// Handles a request. Asking again repeats the grant, in case it was lost on the way.
-    pub fn ask(&mut self, now: Duration, ask: Ask, out: &mut Vec<Decision>) {
-        if let Some(endpoint) = self.granted.get(&ask.request) {
-            let (request, entry, endpoint) = (ask.request, ask.entry, endpoint.clone());
+    pub fn ask(&mut self, now: Duration, ask: SlotRequest, out: &mut Vec<Decision>) {
+        if let Some(endpoint) = self.granted.get(&ask.id) {
+            let (request, entry, endpoint) = (ask.id, ask.entry, endpoint.clone());
             out.push(Decision::Grant { request, entry, endpoint, waited: Duration::ZERO });
             return;
         }
-        if self.queue.get(ask.request).is_some() {
+        if self.queue.get(ask.id).is_some() {
             return;
         }
         if let Some(refusal) = self.refusal_of(now, &ask) {
-            out.push(Decision::Refuse { request: ask.request, entry: ask.entry, refusal });
+            out.push(Decision::Refuse { request: ask.id, entry: ask.entry, refusal });
             return;
         }
         self.retries = (self.retries + self.options.retries).min(RETRY_CEILING);
@@ -220,7 +220,7 @@
         if !again {
             return;
         }
-        let (request, entry) = (running.ask.request, running.ask.entry);
+        let (request, entry) = (running.ask.id, running.ask.entry);
         // Only the entry knows what it sent; it states whether the request ran.
         let refusal =
             Refusal::unknown(RefusalCode::EndpointFailed, "the endpoint failed and the retry budget is spent");
@@ -266,12 +266,12 @@
 
     /// Records all grants that `entry` holds: unknown ones are added, missing ones taken back.
     pub fn sync(&mut self, now: Duration, entry: &InstanceId, holdings: Vec<Holding>, out: &mut Vec<Decision>) {
-        let held: BTreeSet<RequestId> = holdings.iter().map(|holding| holding.ask.request).collect();
+        let held: BTreeSet<RequestId> = holdings.iter().map(|holding| holding.ask.id).collect();
         for holding in holdings {
-            if self.granted.contains_key(&holding.ask.request) || !self.sites.contains_key(&holding.endpoint) {
+            if self.granted.contains_key(&holding.ask.id) || !self.sites.contains_key(&holding.endpoint) {
                 continue;
             }
-            self.queue.remove(holding.ask.request);
+            self.queue.remove(holding.ask.id);
             self.adopt(now, holding);
         }
         let mut lost = Vec::new();
@@ -289,11 +289,11 @@
     }
 
     /// Lets go of all that an entry had, once it is gone.
-    pub fn drop_entry(&mut self, now: Duration, is_live: impl Fn(&Ask) -> bool, out: &mut Vec<Decision>) {
+    pub fn drop_entry(&mut self, now: Duration, is_live: impl Fn(&SlotRequest) -> bool, out: &mut Vec<Decision>) {
         let waiting = self.queue.iter().map(|waiting| &waiting.ask);
         let running = self.sites.values().flat_map(|site| site.running.values().map(|running| &running.ask));
         let gone = waiting.chain(running).filter(|ask| !is_live(ask));
-        let requests: Vec<RequestId> = gone.map(|ask| ask.request).collect();
+        let requests: Vec<RequestId> = gone.map(|ask| ask.id).collect();
         for request in requests {
             self.withdraw(now, request, out);
         }
@@ -316,7 +316,7 @@
         if !site.health.is_well() {
             site.health.probing = true;
         }
-        self.granted.insert(waiting.ask.request, endpoint.clone());
+        self.granted.insert(waiting.ask.id, endpoint.clone());
         let running = Running {
             since: now,
             arrived: waiting.arrived,
@@ -326,7 +326,7 @@
             charged: tokens,
             ask: waiting.ask,
         };
-        site.running.insert(running.ask.request, running);
+        site.running.insert(running.ask.id, running);
     }
 
     fn adopt(&mut self, now: Duration, holding: Holding) {
@@ -337,7 +337,7 @@
         self.start(now, waiting, &holding.endpoint);
     }
 
-    pub(crate) fn close_usage(&mut self, ask: &Ask) {
+    pub(crate) fn close_usage(&mut self, ask: &SlotRequest) {
         if let Some(usage) = self.usage.get_mut(&(ask.class.clone(), ask.org.clone())) {
             usage.open = usage.open.saturating_sub(1);
         }
--- a/crates/rudder-route/src/preempt.rs
+++ b/crates/rudder-route/src/preempt.rs
@@ -35,7 +35,7 @@
                 continue;
             }
             let Some(victim) = self.victim_for(now, waiting, &victims) else { continue };
-            victims.push((victim, waiting.ask.request));
+            victims.push((victim, waiting.ask.id));
         }
         for (victim, cause) in victims {
             self.recall(now, victim, cause, out);
--- a/crates/rudder-route/src/queue.rs
+++ b/crates/rudder-route/src/queue.rs
@@ -7,12 +7,12 @@
 
 use rudder_model::{ClassId, EndpointId, OrgId, RequestId};
 
-use crate::ask::Ask;
+use crate::ask::SlotRequest;
 
 /// A waiting request.
 #[derive(Clone, Debug)]
 pub(crate) struct Waiting {
-    pub(crate) ask: Ask,
+    pub(crate) ask: SlotRequest,
     pub(crate) arrived: Duration,
     pub(crate) until: Duration,
     /// From then on its first token comes late.
@@ -88,7 +88,7 @@
     /// Adds a request; `front` puts it before all others of its organisation.
     pub(crate) fn push(&mut self, now: Duration, waiting: Waiting, front: bool) {
         let (class, org) = (waiting.ask.class.clone(), waiting.ask.org.clone());
-        self.index.insert(waiting.ask.request, (class.clone(), org.clone()));
+        self.index.insert(waiting.ask.id, (class.clone(), org.clone()));
         let tier = waiting.ask.tier;
         let queue = self.classes.entry(class).or_insert_with(|| ClassQueue::new(tier, now));
         queue.tier = tier;
@@ -111,14 +111,14 @@
     pub(crate) fn get(&self, request: RequestId) -> Option<&Waiting> {
         let (class, org) = self.index.get(&request)?;
         let line = self.classes.get(class)?.orgs.get(org)?;
-        line.iter().find(|waiting| waiting.ask.request == request)
+        line.iter().find(|waiting| waiting.ask.id == request)
     }
 
     pub(crate) fn remove(&mut self, request: RequestId) -> Option<Waiting> {
         let (class, org) = self.index.remove(&request)?;
         let queue = self.classes.get_mut(&class)?;
         let line = queue.orgs.get_mut(&org)?;
-        let at = line.iter().position(|waiting| waiting.ask.request == request)?;
+        let at = line.iter().position(|waiting| waiting.ask.id == request)?;
         let waiting = line.remove(at)?;
         if line.is_empty() {
             queue.orgs.remove(&org);
@@ -132,7 +132,7 @@
     }
 
     /// Changes every waiting request's reach; used when configuration changes.
-    pub(crate) fn for_each_ask(&mut self, mut change: impl FnMut(&mut Ask)) {
+    pub(crate) fn for_each_ask(&mut self, mut change: impl FnMut(&mut SlotRequest)) {
         for queue in self.classes.values_mut() {
             for waiting in queue.orgs.values_mut().flatten() {
                 change(&mut waiting.ask);
--- a/crates/rudder-route/src/site.rs
+++ b/crates/rudder-route/src/site.rs
@@ -7,7 +7,7 @@
 
 use rudder_model::{EndpointId, RequestId};
 
-use crate::{ask::Ask, health::Health};
+use crate::{ask::SlotRequest, health::Health};
 
 /// Prefixes remembered for each endpoint.
 const PREFIXES: usize = 512;
@@ -15,7 +15,7 @@
 /// A request at an endpoint.
 #[derive(Clone, Debug)]
 pub(crate) struct Running {
-    pub(crate) ask: Ask,
+    pub(crate) ask: SlotRequest,
     pub(crate) since: Duration,
     pub(crate) arrived: Duration,
     pub(crate) preempted: u8,
--- a/crates/rudder-route/tests/pool.rs
+++ b/crates/rudder-route/tests/pool.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use rudder_model::{EndpointId, Limits, Promise, RefusalCode, RequestId};
-use rudder_route::{Ask, Decision, Ending, Holding, Options, Pool, Spec};
+use rudder_route::{Decision, Ending, Holding, Options, Pool, SlotRequest, Spec};
 
 const MS: Duration = Duration::from_millis(1);
 
@@ -32,9 +32,9 @@
         self.pool.configure(&specs);
     }
 
-    fn to_ask(&self, request: RequestId, class: &str, tier: u8) -> Ask {
-        Ask {
-            request,
+    fn to_ask(&self, request: RequestId, class: &str, tier: u8) -> SlotRequest {
+        SlotRequest {
+            id: request,
             entry: "entry".into(),
             class: class.into(),
             tier,
@@ -50,7 +50,7 @@
         }
     }
 
-    fn ask(&mut self, ask: Ask) -> Vec<Decision> {
+    fn ask(&mut self, ask: SlotRequest) -> Vec<Decision> {
         let mut out = Vec::new();
         self.pool.ask(self.now, ask, &mut out);
         out
@@ -107,11 +107,11 @@
 #[test]
 fn what_may_not_be_repeated_or_resumed_is_never_preempted() {
     let mut bench = Bench::new(1, 1, Options::default());
-    bench.ask(Ask { once: true, ..bench.to_ask(1, "low", 2) });
+    bench.ask(SlotRequest { once: true, ..bench.to_ask(1, "low", 2) });
     assert_eq!(bench.ask(bench.to_ask(2, "top", 0)), []);
     bench.done(1);
     bench.done(2);
-    bench.ask(Ask { resumable: false, ..bench.to_ask(3, "low", 2) });
+    bench.ask(SlotRequest { resumable: false, ..bench.to_ask(3, "low", 2) });
     assert_eq!(bench.ask(bench.to_ask(4, "top", 0)), []);
 }
 
@@ -128,7 +128,7 @@
 fn a_class_that_waits_gets_its_trickle() {
     let mut bench = Bench::new(1, 1, Options { preempt: false, ..Options::default() });
     bench.ask(bench.to_ask(1, "top", 0));
-    bench.ask(Ask { patience: Duration::from_secs(1000), ..bench.to_ask(2, "low", 2) });
+    bench.ask(SlotRequest { patience: Duration::from_secs(1000), ..bench.to_ask(2, "low", 2) });
     let mut running = 1;
     for request in 10..60 {
         bench.ask(bench.to_ask(request, "top", 0));
@@ -146,7 +146,7 @@
 #[test]
 fn organisations_share_a_class_by_work() {
     let mut bench = Bench::new(1, 1, Options::default());
-    let of = |bench: &Bench, request, org: &str| Ask { org: org.into(), ..bench.to_ask(request, "c", 1) };
+    let of = |bench: &Bench, request, org: &str| SlotRequest { org: org.into(), ..bench.to_ask(request, "c", 1) };
     bench.ask(of(&bench, 1, "large"));
     for request in 2..10 {
         bench.ask(of(&bench, request, "large"));
@@ -179,14 +179,15 @@
 fn limits_are_kept_for_each_organisation() {
     let mut bench = Bench::new(1, 8, Options::default());
     let limits = Limits { inflight: 1, ..Limits::default() };
-    assert_eq!(granted(&bench.ask(Ask { limits, ..bench.to_ask(1, "c", 1) })), [1]);
-    assert_eq!(refused(&bench.ask(Ask { limits, ..bench.to_ask(2, "c", 1) })), [(2, RefusalCode::Limited)]);
-    assert_eq!(granted(&bench.ask(Ask { limits, org: "other".into(), ..bench.to_ask(3, "c", 1) })), [3]);
+    assert_eq!(granted(&bench.ask(SlotRequest { limits, ..bench.to_ask(1, "c", 1) })), [1]);
+    assert_eq!(refused(&bench.ask(SlotRequest { limits, ..bench.to_ask(2, "c", 1) })), [(2, RefusalCode::Limited)]);
+    assert_eq!(granted(&bench.ask(SlotRequest { limits, org: "other".into(), ..bench.to_ask(3, "c", 1) })), [3]);
     bench.done(1);
-    assert_eq!(granted(&bench.ask(Ask { limits, ..bench.to_ask(4, "c", 1) })), [4]);
+    assert_eq!(granted(&bench.ask(SlotRequest { limits, ..bench.to_ask(4, "c", 1) })), [4]);
     let rate = Limits { rate: 2, ..Limits::default() };
     let grants = (10..20).filter(|request| {
-        !granted(&bench.ask(Ask { limits: rate, class: "r".into(), ..bench.to_ask(*request, "r", 1) })).is_empty()
+        !granted(&bench.ask(SlotRequest { limits: rate, class: "r".into(), ..bench.to_ask(*request, "r", 1) }))
+            .is_empty()
     });
     assert_eq!(grants.count(), 2);
 }
@@ -295,7 +296,7 @@
 #[test]
 fn a_held_prefix_attracts_until_load_outweighs_it() {
     let mut bench = Bench::new(2, 8, Options::default());
-    let with = |bench: &Bench, request| Ask { prefix: 42, ..bench.to_ask(request, "c", 1) };
+    let with = |bench: &Bench, request| SlotRequest { prefix: 42, ..bench.to_ask(request, "c", 1) };
     bench.ask(with(&bench, 1));
     let home = bench.pool.place_of(1).expect("granted").to_owned();
     bench.done(1);
