--- a/crates/rudder-core/src/homes.rs
+++ b/crates/rudder-core/src/homes.rs
@@ -65,7 +65,7 @@
         let pool = self.pools.entry(id.clone()).or_insert_with(|| to_pool(view, id, options));
         let mut decisions = Vec::new();
         match message {
-            ToPool::Ask(ask) => pool.ask(now, ask, &mut decisions),
+            ToPool::Ask(ask) => pool.request_slot(now, ask, &mut decisions),
             ToPool::Withdraw(request) => pool.withdraw(now, request, &mut decisions),
             ToPool::First(request, after) => pool.first_token(request, after, &mut decisions),
             ToPool::End(request, ending) => pool.end(now, request, &ending, &mut decisions),
--- a/crates/rudder-measure/src/cost.rs
+++ b/crates/rudder-measure/src/cost.rs
@@ -28,7 +28,7 @@
         }
         now += Duration::from_micros(100);
         let mut out = Vec::new();
-        pool.ask(now, to_ask(RequestId::from(count), &reach), &mut out);
+        pool.request_slot(now, to_ask(RequestId::from(count), &reach), &mut out);
         if count >= window {
             let ended = RequestId::from(count - window);
             let first = Duration::from_millis(100);
--- a/crates/rudder-measure/src/run.rs
+++ b/crates/rudder-measure/src/run.rs
@@ -206,7 +206,7 @@
         };
         let pool = call.pool;
         let mut out = Vec::new();
-        self.pools[pool].ask(self.now, ask, &mut out);
+        self.pools[pool].request_slot(self.now, ask, &mut out);
         self.obey(out);
     }
 
--- a/crates/rudder-route/src/pool.rs
+++ b/crates/rudder-route/src/pool.rs
@@ -89,7 +89,7 @@
     }
 
     /// Handles a request. Asking again repeats the grant, in case it was lost on the way.
-    pub fn ask(&mut self, now: Duration, ask: SlotRequest, out: &mut Vec<Decision>) {
+    pub fn request_slot(&mut self, now: Duration, ask: SlotRequest, out: &mut Vec<Decision>) {
         if let Some(endpoint) = self.granted.get(&ask.id) {
             let (request, entry, endpoint) = (ask.id, ask.entry, endpoint.clone());
             out.push(Decision::Grant { request, entry, endpoint, waited: Duration::ZERO });
--- a/crates/rudder-route/tests/pool.rs
+++ b/crates/rudder-route/tests/pool.rs
@@ -52,7 +52,7 @@
 
     fn ask(&mut self, ask: SlotRequest) -> Vec<Decision> {
         let mut out = Vec::new();
-        self.pool.ask(self.now, ask, &mut out);
+        self.pool.request_slot(self.now, ask, &mut out);
         out
     }
 
