--- a/crates/rudder-core/src/calls/end.rs
+++ b/crates/rudder-core/src/calls/end.rs
@@ -4,7 +4,7 @@
 
 use rudder_events::What;
 use rudder_model::{EndpointId, Promise, Ran, Refusal, RefusalCode, RequestId};
-use rudder_route::Ending;
+use rudder_route::GrantOutcome;
 
 use super::{Calls, Context, Phase, slots::withdraw, to_hex};
 use crate::{Ended, Verdict, keyed, peer::ToPool, reach};
@@ -32,7 +32,7 @@
         match ended {
             Ended::Done { tokens, first, total, stored } => {
                 context.promises.check(Promise::WholeAnswer, true);
-                self.tell_home(context, request, ToPool::End(request, Ending::Done { tokens, first, total }));
+                self.tell_home(context, request, ToPool::End(request, GrantOutcome::Done { tokens, first, total }));
                 self.log_done(context, request, endpoint, tokens);
                 match stored {
                     Some(stored) if call_has_key(self, request) => keyed::finish(self, context, request, stored),
@@ -46,7 +46,7 @@
                 self.on_failed(context, request, &endpoint, &failure);
             }
             Ended::Recalled { produced } => {
-                self.tell_home(context, request, ToPool::End(request, Ending::Preempted));
+                self.tell_home(context, request, ToPool::End(request, GrantOutcome::Preempted));
                 // It has run in part; should it never go on, its caller must not hear "not run".
                 if let Some(call) = self.open.get_mut(&request) {
                     call.ran = Ran::Yes;
@@ -54,7 +54,7 @@
                 self.wait_again(context, request, produced);
             }
             Ended::Left => {
-                self.tell_home(context, request, ToPool::End(request, Ending::Dropped));
+                self.tell_home(context, request, ToPool::End(request, GrantOutcome::Dropped));
                 context.log(What::Left { request: to_hex(request) });
                 keyed::abandon(self, context, request, Ran::Unknown);
                 self.open.remove(&request);
@@ -91,7 +91,11 @@
             call.ran = Ran::Unknown;
         }
         context.log(What::Failed { request: to_hex(request), endpoint: endpoint.clone(), ran, again });
-        self.tell_home(context, request, ToPool::End(request, Ending::Failed { again, unsent: !sent, rest }));
+        self.tell_home(
+            context,
+            request,
+            ToPool::End(request, GrantOutcome::Failed { retryable: again, unsent: !sent, retry_after: rest }),
+        );
         if again {
             self.wait_again(context, request, produced);
             return;
--- a/crates/rudder-core/src/calls/slots.rs
+++ b/crates/rudder-core/src/calls/slots.rs
@@ -4,7 +4,7 @@
 
 use rudder_events::What;
 use rudder_model::{EndpointId, InstanceId, Promise, Ran, Refusal, RefusalCode, RequestId};
-use rudder_route::{Ending, Holding, held_digest};
+use rudder_route::{GrantOutcome, Holding, held_digest};
 
 use super::{Call, Calls, Context, Phase, admit::stale, to_hex};
 use crate::{
@@ -187,7 +187,7 @@
 fn return_grant(context: &mut Context, from: &InstanceId, request: RequestId, endpoint: &EndpointId) {
     let pool = reach::endpoint(&context.view.config, endpoint).and_then(reach::pool_of);
     if let Some(pool) = pool {
-        context.send_pool(from.clone(), &pool, ToPool::End(request, Ending::Dropped));
+        context.send_pool(from.clone(), &pool, ToPool::End(request, GrantOutcome::Dropped));
     }
 }
 
--- a/crates/rudder-core/src/peer.rs
+++ b/crates/rudder-core/src/peer.rs
@@ -5,7 +5,7 @@
 use rudder_ledger::{Answer, Attempt, Command, Delta, Document, Evacuations, Patch, QuarantineNews};
 use rudder_model::{EndpointId, EndpointTag, HallId, InstanceId, ModelId, Refusal, RequestId, Start};
 use rudder_replica::{Envelope, Members, ReplicaId};
-use rudder_route::{Ending, Holding, SlotRequest};
+use rudder_route::{GrantOutcome, Holding, SlotRequest};
 use serde::{Deserialize, Serialize};
 
 use crate::{
@@ -332,7 +332,7 @@
     /// The first token came.
     First(RequestId, Duration),
     /// A grant ended.
-    End(RequestId, Ending),
+    End(RequestId, GrantOutcome),
     /// Digest of the grants that the entry holds in this pool: sixteen bytes a second instead of all.
     Digest(u64),
     /// All grants that the entry holds in this pool.
--- a/crates/rudder-measure/src/cost.rs
+++ b/crates/rudder-measure/src/cost.rs
@@ -6,7 +6,7 @@
 };
 
 use rudder_model::{EndpointId, Limits, RequestId};
-use rudder_route::{Ending, Options, Pool, SlotRequest, Spec};
+use rudder_route::{GrantOutcome, Options, Pool, SlotRequest, Spec};
 
 /// Requests timed at each size.
 const REQUESTS: u32 = 20_000;
@@ -33,7 +33,7 @@
             let ended = RequestId::from(count - window);
             let first = Duration::from_millis(100);
             pool.first_token(ended, first, &mut out);
-            pool.end(now, ended, &Ending::Done { tokens: 50, first, total: first * 20 }, &mut out);
+            pool.end(now, ended, &GrantOutcome::Done { tokens: 50, first, total: first * 20 }, &mut out);
         }
     }
     start.elapsed() / REQUESTS
--- a/crates/rudder-measure/src/run.rs
+++ b/crates/rudder-measure/src/run.rs
@@ -5,7 +5,7 @@
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg32;
 use rudder_model::{ClassId, EndpointId, Limits, OrgId, RefusalCode, RequestId};
-use rudder_route::{Decision, Ending, Pool, SlotRequest, Spec};
+use rudder_route::{Decision, GrantOutcome, Pool, SlotRequest, Spec};
 
 use crate::{
     engine::Engine,
@@ -162,7 +162,12 @@
         };
         self.at.remove(&request);
         let mut out = Vec::new();
-        self.pools[pool].end(self.now, request, &Ending::Failed { again: !once, unsent: false, rest: None }, &mut out);
+        self.pools[pool].end(
+            self.now,
+            request,
+            &GrantOutcome::Failed { retryable: !once, unsent: false, retry_after: None },
+            &mut out,
+        );
         if once {
             self.calls[request as usize].refused = Some(RefusalCode::EndpointFailed);
         }
@@ -233,7 +238,7 @@
             self.pools[pool].end(
                 self.now,
                 request,
-                &Ending::Failed { again: true, unsent: true, rest: None },
+                &GrantOutcome::Failed { retryable: true, unsent: true, retry_after: None },
                 &mut out,
             );
             self.obey(out);
@@ -264,7 +269,7 @@
         self.note_work(request, job.used, job.made);
         let pool = self.calls[request as usize].pool;
         let mut out = Vec::new();
-        self.pools[pool].end(self.now, request, &Ending::Preempted, &mut out);
+        self.pools[pool].end(self.now, request, &GrantOutcome::Preempted, &mut out);
         self.obey(out);
     }
 
@@ -306,7 +311,7 @@
         let call = &mut self.calls[request as usize];
         call.done = Some(now);
         let first = call.first.unwrap_or(now).saturating_sub(call.sent);
-        let ending = Ending::Done { tokens: call.tokens as u32, first, total: now.saturating_sub(call.sent) };
+        let ending = GrantOutcome::Done { tokens: call.tokens as u32, first, total: now.saturating_sub(call.sent) };
         let pool = call.pool;
         let mut out = Vec::new();
         self.pools[pool].end(now, request, &ending, &mut out);
--- a/crates/rudder-route/src/ask.rs
+++ b/crates/rudder-route/src/ask.rs
@@ -86,7 +86,7 @@
 
 /// How a granted request ended, as its entry reports it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Ending {
+pub enum GrantOutcome {
     /// The whole answer went to the caller.
     Done {
         /// Tokens generated.
@@ -100,12 +100,12 @@
     Failed {
         /// The request may be sent again: it is known not to have run, or may be repeated and the
         /// caller has seen nothing that cannot be continued.
-        again: bool,
+        retryable: bool,
         /// No connection could be made, so nothing was sent.
         unsent: bool,
         /// The endpoint turned it away and wants nothing for this long.
         #[serde(default)]
-        rest: Option<Duration>,
+        retry_after: Option<Duration>,
     },
     /// Stopped on the engine because the pool recalled it.
     Preempted,
--- a/crates/rudder-route/src/pool.rs
+++ b/crates/rudder-route/src/pool.rs
@@ -9,7 +9,7 @@
 use rudder_model::{ClassId, EndpointId, InstanceId, OrgId, Promises, Refusal, RefusalCode, RequestId};
 
 use crate::{
-    Decision, Ending, Holding, Options, Site, SlotRequest, Spec,
+    Decision, GrantOutcome, Holding, Options, Site, SlotRequest, Spec,
     estimate::Estimates,
     limit::Usage,
     queue::{Queue, Waiting},
@@ -114,7 +114,7 @@
             self.close_usage(&waiting.ask);
             return;
         }
-        self.end(now, request, &Ending::Dropped, out);
+        self.end(now, request, &GrantOutcome::Dropped, out);
     }
 
     /// Records that the first token of a request came, `after` its dispatch.
@@ -132,24 +132,24 @@
     }
 
     /// Records how a granted request ended.
-    pub fn end(&mut self, now: Duration, request: RequestId, ending: &Ending, out: &mut Vec<Decision>) {
+    pub fn end(&mut self, now: Duration, request: RequestId, ending: &GrantOutcome, out: &mut Vec<Decision>) {
         let Some(endpoint) = self.granted.remove(&request) else { return };
         let Some(site) = self.sites.get_mut(&endpoint) else { return };
         let Some(running) = site.running.remove(&request) else { return };
         match *ending {
-            Ending::Done { tokens, first, total } => {
+            GrantOutcome::Done { tokens, first, total } => {
                 self.end_done(now, &endpoint, &running, (tokens, first, total), out);
             }
-            Ending::Failed { again, unsent, rest } => {
-                if let Some(rest) = rest {
-                    site.note_rest(now, rest);
+            GrantOutcome::Failed { retryable, unsent, retry_after } => {
+                if let Some(retry_after) = retry_after {
+                    site.note_rest(now, retry_after);
                 }
-                self.end_failed(now, &endpoint, running, (again, unsent), out);
+                self.end_failed(now, &endpoint, running, (retryable, unsent), out);
             }
-            Ending::Preempted => self.requeue(now, running, None, true),
-            Ending::Dropped => self.close_usage(&running.ask),
+            GrantOutcome::Preempted => self.requeue(now, running, None, true),
+            GrantOutcome::Dropped => self.close_usage(&running.ask),
         }
-        if matches!(ending, Ending::Failed { .. }) {
+        if matches!(ending, GrantOutcome::Failed { .. }) {
             self.check_health(now, out);
         }
         self.free_probe(&endpoint);
@@ -284,7 +284,7 @@
             }
         }
         for request in lost {
-            self.end(now, request, &Ending::Dropped, out);
+            self.end(now, request, &GrantOutcome::Dropped, out);
         }
     }
 
--- a/crates/rudder-route/tests/pool.rs
+++ b/crates/rudder-route/tests/pool.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use rudder_model::{EndpointId, Limits, Promise, RefusalCode, RequestId};
-use rudder_route::{Decision, Ending, Holding, Options, Pool, SlotRequest, Spec};
+use rudder_route::{Decision, GrantOutcome, Holding, Options, Pool, SlotRequest, Spec};
 
 const MS: Duration = Duration::from_millis(1);
 
@@ -56,14 +56,14 @@
         out
     }
 
-    fn end(&mut self, request: RequestId, ending: &Ending) -> Vec<Decision> {
+    fn end(&mut self, request: RequestId, ending: &GrantOutcome) -> Vec<Decision> {
         let mut out = Vec::new();
         self.pool.end(self.now, request, ending, &mut out);
         out
     }
 
     fn done(&mut self, request: RequestId) -> Vec<Decision> {
-        let ending = Ending::Done { tokens: 10, first: MS * 100, total: MS * 1000 };
+        let ending = GrantOutcome::Done { tokens: 10, first: MS * 100, total: MS * 1000 };
         self.end(request, &ending)
     }
 
@@ -98,7 +98,7 @@
     bench.ask(bench.to_ask(2, "low", 2));
     let out = bench.ask(bench.to_ask(3, "top", 0));
     assert!(matches!(out.as_slice(), [Decision::Recall { request: 1, cause: 3, .. }]), "{out:?}");
-    assert_eq!(granted(&bench.end(1, &Ending::Preempted)), [3]);
+    assert_eq!(granted(&bench.end(1, &GrantOutcome::Preempted)), [3]);
     // What was preempted goes before its class's later arrivals, and the top tier is left alone.
     assert_eq!(granted(&bench.done(3)), [1]);
     assert!(bench.pool.promises.tested(Promise::TierOrder) > 0);
@@ -212,7 +212,7 @@
     let mut bench = Bench::new(2, 4, Options::default());
     bench.ask(bench.to_ask(1, "c", 1));
     let first = bench.pool.place_of(1).expect("granted").to_owned();
-    let out = bench.end(1, &Ending::Failed { again: true, unsent: true, rest: None });
+    let out = bench.end(1, &GrantOutcome::Failed { retryable: true, unsent: true, retry_after: None });
     assert!(out.iter().any(|decision| matches!(decision, Decision::Eject { why: "unreachable", .. })), "{out:?}");
     assert_ne!(bench.pool.place_of(1), Some(first.as_str()));
     for request in 2..6 {
@@ -232,7 +232,7 @@
     let mut bench = Bench::new(2, 4, Options { eject: false, ..Options::default() });
     bench.ask(bench.to_ask(1, "c", 1));
     let resting = bench.pool.place_of(1).expect("granted").to_owned();
-    bench.end(1, &Ending::Failed { again: true, unsent: false, rest: Some(MS * 3000) });
+    bench.end(1, &GrantOutcome::Failed { retryable: true, unsent: false, retry_after: Some(MS * 3000) });
     assert_ne!(bench.pool.place_of(1), Some(resting.as_str()));
     for request in 2..8 {
         bench.ask(bench.to_ask(request, "c", 1));
@@ -250,7 +250,7 @@
     let mut ejected = 0;
     for request in 1..60 {
         bench.ask(bench.to_ask(request, "c", 1));
-        let out = bench.end(request, &Ending::Failed { again: false, unsent: false, rest: None });
+        let out = bench.end(request, &GrantOutcome::Failed { retryable: false, unsent: false, retry_after: None });
         ejected += out.iter().filter(|decision| matches!(decision, Decision::Eject { .. })).count();
     }
     assert_eq!(ejected, 2, "half of four");
@@ -261,7 +261,7 @@
     let mut bench = Bench::new(3, 100, Options { eject: false, ..Options::default() });
     let retried = (1..200).filter(|request| {
         bench.ask(bench.to_ask(*request, "c", 1));
-        let out = bench.end(*request, &Ending::Failed { again: true, unsent: false, rest: None });
+        let out = bench.end(*request, &GrantOutcome::Failed { retryable: true, unsent: false, retry_after: None });
         let again = !granted(&out).is_empty();
         bench.done(*request);
         again
