--- a/crates/rudder-core/src/calls/slots.rs
+++ b/crates/rudder-core/src/calls/slots.rs
@@ -4,7 +4,7 @@
 
 use rudder_events::What;
 use rudder_model::{EndpointId, InstanceId, Promise, Ran, Refusal, RefusalCode, RequestId};
-use rudder_route::{GrantOutcome, Holding, held_digest};
+use rudder_route::{GrantOutcome, HeldGrant, held_digest};
 
 use super::{Call, Calls, Context, Phase, admit::stale, to_hex};
 use crate::{
@@ -177,7 +177,7 @@
         for call in self.open.values().filter(|call| call.pool() == Some(pool)) {
             let Phase::Running { endpoint, .. } = &call.phase else { continue };
             let Some(ask) = call.to_ask(context) else { continue };
-            holdings.push(Holding { ask, endpoint: endpoint.clone() });
+            holdings.push(HeldGrant { request: ask, endpoint: endpoint.clone() });
         }
         context.send_pool(home, pool, ToPool::Sync(holdings));
     }
--- a/crates/rudder-core/src/peer.rs
+++ b/crates/rudder-core/src/peer.rs
@@ -5,7 +5,7 @@
 use rudder_ledger::{Answer, Attempt, Command, Delta, Document, Evacuations, Patch, QuarantineNews};
 use rudder_model::{EndpointId, EndpointTag, HallId, InstanceId, ModelId, Refusal, RequestId, Start};
 use rudder_replica::{Envelope, Members, ReplicaId};
-use rudder_route::{GrantOutcome, Holding, SlotRequest};
+use rudder_route::{GrantOutcome, HeldGrant, SlotRequest};
 use serde::{Deserialize, Serialize};
 
 use crate::{
@@ -336,7 +336,7 @@
     /// Digest of the grants that the entry holds in this pool: sixteen bytes a second instead of all.
     Digest(u64),
     /// All grants that the entry holds in this pool.
-    Sync(Vec<Holding>),
+    Sync(Vec<HeldGrant>),
 }
 
 /// From the home of a pool to an entry.
--- a/crates/rudder-route/src/ask.rs
+++ b/crates/rudder-route/src/ask.rs
@@ -115,9 +115,9 @@
 
 /// One grant that an entry holds, as it tells a pool's home in regular reports.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Holding {
+pub struct HeldGrant {
     /// What was asked.
-    pub ask: SlotRequest,
+    pub request: SlotRequest,
     /// Where it runs.
     pub endpoint: EndpointId,
 }
--- a/crates/rudder-route/src/lib.rs
+++ b/crates/rudder-route/src/lib.rs
@@ -21,7 +21,7 @@
 pub mod site;
 pub mod slow_start;
 
-pub use ask::{Decision, GrantOutcome, Holding, SlotRequest};
+pub use ask::{Decision, GrantOutcome, HeldGrant, SlotRequest};
 pub use options::Options;
 pub use pool::{Pool, held_digest};
 pub use site::{Site, Spec};
--- a/crates/rudder-route/src/pool.rs
+++ b/crates/rudder-route/src/pool.rs
@@ -9,7 +9,7 @@
 use rudder_model::{ClassId, EndpointId, InstanceId, OrgId, Promises, Refusal, RefusalCode, RequestId};
 
 use crate::{
-    Decision, GrantOutcome, Holding, Options, Site, SlotRequest, Spec,
+    Decision, GrantOutcome, HeldGrant, Options, Site, SlotRequest, Spec,
     estimate::Estimates,
     limit::Usage,
     queue::{Queue, Waiting},
@@ -265,13 +265,13 @@
     }
 
     /// Records all grants that `entry` holds: unknown ones are added, missing ones taken back.
-    pub fn sync(&mut self, now: Duration, entry: &InstanceId, holdings: Vec<Holding>, out: &mut Vec<Decision>) {
-        let held: BTreeSet<RequestId> = holdings.iter().map(|holding| holding.ask.id).collect();
+    pub fn sync(&mut self, now: Duration, entry: &InstanceId, holdings: Vec<HeldGrant>, out: &mut Vec<Decision>) {
+        let held: BTreeSet<RequestId> = holdings.iter().map(|holding| holding.request.id).collect();
         for holding in holdings {
-            if self.granted.contains_key(&holding.ask.id) || !self.sites.contains_key(&holding.endpoint) {
+            if self.granted.contains_key(&holding.request.id) || !self.sites.contains_key(&holding.endpoint) {
                 continue;
             }
-            self.queue.remove(holding.ask.id);
+            self.queue.remove(holding.request.id);
             self.adopt(now, holding);
         }
         let mut lost = Vec::new();
@@ -329,11 +329,11 @@
         site.running.insert(running.ask.id, running);
     }
 
-    fn adopt(&mut self, now: Duration, holding: Holding) {
-        let usage = self.usage.entry((holding.ask.class.clone(), holding.ask.org.clone())).or_default();
+    fn adopt(&mut self, now: Duration, holding: HeldGrant) {
+        let usage = self.usage.entry((holding.request.class.clone(), holding.request.org.clone())).or_default();
         usage.open += 1;
-        let (until, late) = (now + holding.ask.patience, Duration::MAX);
-        let waiting = Waiting { ask: holding.ask, arrived: now, until, late, preempted: 0, avoid: None };
+        let (until, late) = (now + holding.request.patience, Duration::MAX);
+        let waiting = Waiting { ask: holding.request, arrived: now, until, late, preempted: 0, avoid: None };
         self.start(now, waiting, &holding.endpoint);
     }
 
--- a/crates/rudder-route/tests/pool.rs
+++ b/crates/rudder-route/tests/pool.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use rudder_model::{EndpointId, Limits, Promise, RefusalCode, RequestId};
-use rudder_route::{Decision, GrantOutcome, Holding, Options, Pool, SlotRequest, Spec};
+use rudder_route::{Decision, GrantOutcome, HeldGrant, Options, Pool, SlotRequest, Spec};
 
 const MS: Duration = Duration::from_millis(1);
 
@@ -273,7 +273,7 @@
 #[test]
 fn a_new_home_learns_what_runs_from_its_entries() {
     let mut bench = Bench::new(1, 2, Options::default());
-    let holding = Holding { ask: bench.to_ask(1, "c", 1), endpoint: "e0".into() };
+    let holding = HeldGrant { request: bench.to_ask(1, "c", 1), endpoint: "e0".into() };
     let mut out = Vec::new();
     bench.pool.sync(bench.now, &"entry".into(), vec![holding], &mut out);
     assert_eq!(granted(&bench.ask(bench.to_ask(2, "c", 1))), [2]);
