--- a/crates/rudder-core/src/calls/slots.rs
+++ b/crates/rudder-core/src/calls/slots.rs
@@ -4,7 +4,7 @@
 
 use rudder_events::What;
 use rudder_model::{EndpointId, InstanceId, Promise, Ran, Refusal, RefusalCode, RequestId};
-use rudder_route::{GrantOutcome, HeldGrant, held_digest};
+use rudder_route::{GrantOutcome, HeldGrant, grant_digest};
 
 use super::{Call, Calls, Context, Phase, admit::stale, to_hex};
 use crate::{
@@ -163,7 +163,7 @@
         for (request, call) in &self.open {
             let (Phase::Running { .. }, Some(pool)) = (&call.phase, call.pool()) else { continue };
             let digest = held.entry(pool.clone()).or_default();
-            *digest = digest.wrapping_add(held_digest(*request));
+            *digest = digest.wrapping_add(grant_digest(*request));
         }
         for (pool, digest) in held {
             let Some(home) = context.view.home(&pool.0, &pool.1) else { continue };
--- a/crates/rudder-route/src/lib.rs
+++ b/crates/rudder-route/src/lib.rs
@@ -23,5 +23,5 @@
 
 pub use ask::{Decision, GrantOutcome, HeldGrant, SlotRequest};
 pub use options::Options;
-pub use pool::{Pool, held_digest};
+pub use pool::{Pool, grant_digest};
 pub use site::{Site, Spec};
--- a/crates/rudder-route/src/pool.rs
+++ b/crates/rudder-route/src/pool.rs
@@ -261,7 +261,7 @@
     pub fn fits(&self, entry: &InstanceId, digest: u64) -> bool {
         let running = self.sites.values().flat_map(|site| &site.running);
         let own = running.filter(|(_, running)| running.ask.entry == *entry);
-        own.map(|(request, _)| held_digest(*request)).fold(0, u64::wrapping_add) == digest
+        own.map(|(request, _)| grant_digest(*request)).fold(0, u64::wrapping_add) == digest
     }
 
     /// Records all grants that `entry` holds: unknown ones are added, missing ones taken back.
@@ -345,7 +345,7 @@
 }
 
 /// A request's part of the digest of what an entry holds; the parts add up in any order.
-pub fn held_digest(request: RequestId) -> u64 {
+pub fn grant_digest(request: RequestId) -> u64 {
     // Odd constants from the fractional part of the golden ratio spread the counters over all bits.
     let folded = (request >> 64) as u64 ^ (request as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     (folded ^ (folded >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9)
