--- a/crates/rudder-core/src/homes.rs
+++ b/crates/rudder-core/src/homes.rs
@@ -4,7 +4,7 @@
 
 use rudder_events::What;
 use rudder_model::{EndpointId, EndpointKind, InstanceId, Promises};
-use rudder_route::{Decision, Pool, Spec};
+use rudder_route::{Decision, EndpointSpec, Pool};
 
 use crate::{
     Effect, Me, Options, PeerMessage,
@@ -163,10 +163,10 @@
     pool
 }
 
-fn to_specs(view: &View, id: &PoolId) -> Vec<Spec> {
+fn to_specs(view: &View, id: &PoolId) -> Vec<EndpointSpec> {
     let endpoints =
         reach::iter_endpoints(&view.config).filter(|(_, endpoint)| reach::pool_of(endpoint).as_ref() == Some(id));
-    let spec = |(name, endpoint): (&str, &rudder_model::Endpoint)| Spec {
+    let spec = |(name, endpoint): (&str, &rudder_model::Endpoint)| EndpointSpec {
         id: EndpointId::from(name),
         slots: endpoint.slots,
         engine: endpoint.kind == EndpointKind::Engine,
--- a/crates/rudder-measure/src/cost.rs
+++ b/crates/rudder-measure/src/cost.rs
@@ -6,7 +6,7 @@
 };
 
 use rudder_model::{EndpointId, Limits, RequestId};
-use rudder_route::{GrantOutcome, Options, Pool, SlotRequest, Spec};
+use rudder_route::{EndpointSpec, GrantOutcome, Options, Pool, SlotRequest};
 
 /// Requests timed at each size.
 const REQUESTS: u32 = 20_000;
@@ -14,8 +14,8 @@
 /// Time of one request's decisions (ask, first token, end) in a pool of `endpoints`, half loaded.
 pub fn decision(endpoints: usize) -> Duration {
     let names: Vec<EndpointId> = (0..endpoints).map(|index| EndpointId::from(format!("engine-{index}"))).collect();
-    let specs: Vec<Spec> =
-        names.iter().map(|id| Spec { id: id.clone(), slots: 16, engine: true, leaving: false }).collect();
+    let specs: Vec<EndpointSpec> =
+        names.iter().map(|id| EndpointSpec { id: id.clone(), slots: 16, engine: true, leaving: false }).collect();
     let mut pool = Pool::new(Options::default());
     pool.configure(&specs);
     let reach: Arc<[EndpointId]> = names.into();
--- a/crates/rudder-measure/src/run.rs
+++ b/crates/rudder-measure/src/run.rs
@@ -5,7 +5,7 @@
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg32;
 use rudder_model::{ClassId, EndpointId, Limits, OrgId, RefusalCode, RequestId};
-use rudder_route::{Decision, GrantOutcome, Pool, SlotRequest, Spec};
+use rudder_route::{Decision, EndpointSpec, GrantOutcome, Pool, SlotRequest};
 
 use crate::{
     engine::Engine,
@@ -117,13 +117,17 @@
 impl Run<'_> {
     fn make_pools(&mut self) {
         let per_hall = self.scenario.engine.count;
-        let spec =
-            |id: &EndpointId| Spec { id: id.clone(), slots: self.scenario.engine.slots, engine: true, leaving: false };
+        let spec = |id: &EndpointId| EndpointSpec {
+            id: id.clone(),
+            slots: self.scenario.engine.slots,
+            engine: true,
+            leaving: false,
+        };
         let count = if self.variant.homes { self.scenario.halls } else { self.scenario.halls * self.scenario.entries };
         for index in 0..count {
             let mut pool = Pool::new(self.variant.options.clone());
             let own = if self.variant.homes { index * per_hall..(index + 1) * per_hall } else { 0..self.names.len() };
-            let specs: Vec<Spec> = self.names[own].iter().map(spec).collect();
+            let specs: Vec<EndpointSpec> = self.names[own].iter().map(spec).collect();
             pool.configure(&specs);
             self.pools.push(pool);
         }
--- a/crates/rudder-route/src/pool.rs
+++ b/crates/rudder-route/src/pool.rs
@@ -9,7 +9,7 @@
 use rudder_model::{ClassId, EndpointId, InstanceId, OrgId, Promises, Refusal, RefusalCode, RequestId};
 
 use crate::{
-    Decision, GrantOutcome, HeldGrant, Options, Site, SlotRequest, Spec,
+    Decision, EndpointSpec, GrantOutcome, HeldGrant, Options, Site, SlotRequest,
     estimate::Estimates,
     limit::Usage,
     queue::{Queue, Waiting},
@@ -71,7 +71,7 @@
     }
 
     /// Brings the endpoints in line with configuration; what runs at a removed one is let go.
-    pub fn configure(&mut self, specs: &[Spec]) {
+    pub fn configure(&mut self, specs: &[EndpointSpec]) {
         let kept: BTreeSet<&EndpointId> = specs.iter().map(|spec| &spec.id).collect();
         self.sites.retain(|id, _| kept.contains(id));
         self.granted.retain(|_, id| kept.contains(id));
--- a/crates/rudder-route/src/site.rs
+++ b/crates/rudder-route/src/site.rs
@@ -27,7 +27,7 @@
 
 /// One endpoint as configuration describes it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Spec {
+pub struct EndpointSpec {
     /// Its name.
     pub id: EndpointId,
     /// Requests it works on at the same time.
--- a/crates/rudder-route/tests/pool.rs
+++ b/crates/rudder-route/tests/pool.rs
@@ -3,7 +3,7 @@
 use std::{sync::Arc, time::Duration};
 
 use rudder_model::{EndpointId, Limits, Promise, RefusalCode, RequestId};
-use rudder_route::{Decision, GrantOutcome, HeldGrant, Options, Pool, SlotRequest, Spec};
+use rudder_route::{Decision, EndpointSpec, GrantOutcome, HeldGrant, Options, Pool, SlotRequest};
 
 const MS: Duration = Duration::from_millis(1);
 
@@ -22,13 +22,13 @@
     }
 
     fn configure(&mut self, slots: u32, leaving: &[usize]) {
-        let spec = |(index, id): (usize, &EndpointId)| Spec {
+        let spec = |(index, id): (usize, &EndpointId)| EndpointSpec {
             id: id.clone(),
             slots,
             engine: true,
             leaving: leaving.contains(&index),
         };
-        let specs: Vec<Spec> = self.names.iter().enumerate().map(spec).collect();
+        let specs: Vec<EndpointSpec> = self.names.iter().enumerate().map(spec).collect();
         self.pool.configure(&specs);
     }
 
