--- a/crates/rudder-route/src/admit.rs
+++ b/crates/rudder-route/src/admit.rs
@@ -46,7 +46,7 @@
             }
         }
         // One slot is enough: the first to come free of all of them.
-        let taken: u32 = self.reachable(ask).map(crate::Site::inflight).sum();
+        let taken: u32 = self.reachable(ask).map(crate::EndpointState::inflight).sum();
         if taken == 0 { 0.0 } else { work / f64::from(taken) }
     }
 
--- a/crates/rudder-route/src/choose.rs
+++ b/crates/rudder-route/src/choose.rs
@@ -5,20 +5,20 @@
 use rudder_model::{ClassId, EndpointId, OrgId, Promise, RequestId};
 
 use crate::{
-    Decision, Pool, Site, SlotRequest,
+    Decision, EndpointState, Pool, SlotRequest,
     options::Order,
     queue::{ClassQueue, Waiting},
 };
 
 impl Pool {
     /// Endpoints that the request reaches and that are not leaving.
-    pub(crate) fn reachable<'a>(&'a self, ask: &'a SlotRequest) -> impl Iterator<Item = &'a Site> {
+    pub(crate) fn reachable<'a>(&'a self, ask: &'a SlotRequest) -> impl Iterator<Item = &'a EndpointState> {
         let sites = ask.reach.iter().filter_map(|id| self.sites.get(id));
         sites.filter(|site| !site.leaving)
     }
 
     /// Of these, the ones that take work now.
-    pub(crate) fn usable<'a>(&'a self, now: Duration, ask: &'a SlotRequest) -> impl Iterator<Item = &'a Site> {
+    pub(crate) fn usable<'a>(&'a self, now: Duration, ask: &'a SlotRequest) -> impl Iterator<Item = &'a EndpointState> {
         self.reachable(ask).filter(move |site| site.is_open(now))
     }
 
@@ -103,7 +103,7 @@
         best.map(|(_, id)| (ask.id, id.clone()))
     }
 
-    fn takes(&self, now: Duration, site: &Site, ask: &SlotRequest) -> bool {
+    fn takes(&self, now: Duration, site: &EndpointState, ask: &SlotRequest) -> bool {
         if !site.is_open(now) {
             return false;
         }
@@ -118,7 +118,7 @@
     }
 
     /// Load after taking the request, weighed by the endpoint's pace; a held prefix lowers it.
-    fn score(&self, site: &Site, ask: &SlotRequest) -> f64 {
+    fn score(&self, site: &EndpointState, ask: &SlotRequest) -> f64 {
         let load = f64::from(site.load(self.options.reports) + 1) / f64::from(site.slots);
         let held = site.holds_prefix(ask.prefix);
         load - if held { self.options.affinity } else { 0.0 }
--- a/crates/rudder-route/src/lib.rs
+++ b/crates/rudder-route/src/lib.rs
@@ -24,4 +24,4 @@
 pub use ask::{Decision, GrantOutcome, HeldGrant, SlotRequest};
 pub use options::Options;
 pub use pool::{Pool, grant_digest};
-pub use site::{EndpointSpec, Site};
+pub use site::{EndpointSpec, EndpointState};
--- a/crates/rudder-route/src/pool.rs
+++ b/crates/rudder-route/src/pool.rs
@@ -9,7 +9,7 @@
 use rudder_model::{ClassId, EndpointId, InstanceId, OrgId, Promises, Refusal, RefusalCode, RequestId};
 
 use crate::{
-    Decision, EndpointSpec, GrantOutcome, HeldGrant, Options, Site, SlotRequest,
+    Decision, EndpointSpec, EndpointState, GrantOutcome, HeldGrant, Options, SlotRequest,
     estimate::Estimates,
     limit::Usage,
     queue::{Queue, Waiting},
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 pub struct Pool {
     pub(crate) options: Options,
-    pub(crate) sites: BTreeMap<EndpointId, Site>,
+    pub(crate) sites: BTreeMap<EndpointId, EndpointState>,
     pub(crate) queue: Queue,
     pub(crate) granted: BTreeMap<RequestId, EndpointId>,
     pub(crate) estimates: Estimates,
@@ -66,7 +66,7 @@
     }
 
     /// The endpoint as the pool sees it.
-    pub fn site(&self, id: &str) -> Option<&Site> {
+    pub fn endpoint(&self, id: &str) -> Option<&EndpointState> {
         self.sites.get(id)
     }
 
@@ -76,7 +76,7 @@
         self.sites.retain(|id, _| kept.contains(id));
         self.granted.retain(|_, id| kept.contains(id));
         for spec in specs {
-            let site = self.sites.entry(spec.id.clone()).or_insert_with(|| Site::new(spec.slots, spec.engine));
+            let site = self.sites.entry(spec.id.clone()).or_insert_with(|| EndpointState::new(spec.slots, spec.engine));
             site.slots = spec.slots;
             site.engine = spec.engine;
             site.leaving = spec.leaving;
--- a/crates/rudder-route/src/preempt.rs
+++ b/crates/rudder-route/src/preempt.rs
@@ -4,14 +4,14 @@
 
 use rudder_model::{Promise, RequestId};
 
-use crate::{Decision, Pool, Site, queue::Waiting, site::Running};
+use crate::{Decision, EndpointState, Pool, queue::Waiting, site::Running};
 
 /// A recall without effect is repeated after this long.
 const RECALL_RETRY: Duration = Duration::from_secs(1);
 
 impl Pool {
     /// True when `running` may make room for a request of `tier`.
-    pub(crate) fn may_preempt(&self, site: &Site, running: &Running, tier: u8) -> bool {
+    pub(crate) fn may_preempt(&self, site: &EndpointState, running: &Running, tier: u8) -> bool {
         let lower = running.ask.tier > tier && running.ask.resumable && !running.ask.once;
         lower && site.engine && running.preempted < self.options.preemptions
     }
--- a/crates/rudder-route/src/site.rs
+++ b/crates/rudder-route/src/site.rs
@@ -40,7 +40,7 @@
 
 /// One endpoint.
 #[derive(Clone, Debug)]
-pub struct Site {
+pub struct EndpointState {
     /// Requests it works on at the same time.
     pub slots: u32,
     /// Gets no new work: marked leaving or stopping.
@@ -55,10 +55,10 @@
     prefixes: VecDeque<u64>,
 }
 
-impl Site {
+impl EndpointState {
     /// An endpoint with nothing running.
-    pub fn new(slots: u32, engine: bool) -> Site {
-        Site {
+    pub fn new(slots: u32, engine: bool) -> EndpointState {
+        EndpointState {
             slots,
             leaving: false,
             engine,
--- a/crates/rudder-route/tests/pool.rs
+++ b/crates/rudder-route/tests/pool.rs
@@ -309,5 +309,5 @@
     assert_eq!(places[..2], [true, true]);
     assert!(places.contains(&false), "load beats affinity past a bound");
     bench.pool.evicted(&home, None);
-    assert!(bench.pool.site(&home).is_some());
+    assert!(bench.pool.endpoint(&home).is_some());
 }
