--- a/crates/rudder-core/src/homes.rs
+++ b/crates/rudder-core/src/homes.rs
@@ -70,7 +70,7 @@
             ToPool::First(request, after) => pool.first_token(request, after, &mut decisions),
             ToPool::End(request, ending) => pool.end(now, request, &ending, &mut decisions),
             ToPool::Digest(digest) => {
-                if !pool.fits(from, digest) {
+                if !pool.digest_matches(from, digest) {
                     let (hall, model) = id.clone();
                     out.push(Effect::Send { to: from.clone(), message: PeerMessage::Resync { hall, model } });
                 }
--- a/crates/rudder-route/src/pool.rs
+++ b/crates/rudder-route/src/pool.rs
@@ -258,7 +258,7 @@
     }
 
     /// True when the grants that this pool knows of `entry` have this digest.
-    pub fn fits(&self, entry: &InstanceId, digest: u64) -> bool {
+    pub fn digest_matches(&self, entry: &InstanceId, digest: u64) -> bool {
         let running = self.sites.values().flat_map(|site| &site.running);
         let own = running.filter(|(_, running)| running.ask.entry == *entry);
         own.map(|(request, _)| grant_digest(*request)).fold(0, u64::wrapping_add) == digest
