--- a/crates/rudder-core/src/homes.rs
+++ b/crates/rudder-core/src/homes.rs
@@ -126,11 +126,11 @@
         let polled = self.polls.entry(endpoint.clone()).or_default();
         let mut decisions = Vec::new();
         match report {
-            None => pool.missed(now, endpoint, &mut decisions),
+            None => pool.on_poll_failed(now, endpoint, &mut decisions),
             Some(report) => {
-                pool.report(endpoint, report.load);
+                pool.set_reported_load(endpoint, report.load);
                 let gap = report.first_event != polled.next_event;
-                pool.evicted(endpoint, if gap { None } else { Some(&report.evicted) });
+                pool.on_evicted(endpoint, if gap { None } else { Some(&report.evicted) });
                 polled.next_event = report.first_event + report.evicted.len() as u64;
             }
         }
--- a/crates/rudder-measure/src/run.rs
+++ b/crates/rudder-measure/src/run.rs
@@ -327,7 +327,7 @@
         let name = self.names[index].clone();
         for pool in &mut self.pools {
             // A gap in the events puts all of them in doubt.
-            pool.evicted(&name, if lost { None } else { Some(evicted) });
+            pool.on_evicted(&name, if lost { None } else { Some(evicted) });
         }
     }
 
@@ -337,7 +337,7 @@
             let loads: Vec<u32> = self.engines.iter().map(Engine::load).collect();
             for pool in &mut self.pools {
                 for (name, load) in self.names.iter().zip(&loads) {
-                    pool.report(name, *load);
+                    pool.set_reported_load(name, *load);
                 }
             }
         }
--- a/crates/rudder-route/src/pool.rs
+++ b/crates/rudder-route/src/pool.rs
@@ -236,14 +236,14 @@
     }
 
     /// Records an endpoint's own report, which lags: requests it works on or holds.
-    pub fn report(&mut self, endpoint: &str, load: u32) {
+    pub fn set_reported_load(&mut self, endpoint: &str, load: u32) {
         if let Some(site) = self.sites.get_mut(endpoint) {
             site.reported = load;
         }
     }
 
     /// Records that an endpoint did not answer a look at its load.
-    pub fn missed(&mut self, now: Duration, endpoint: &str, out: &mut Vec<Decision>) {
+    pub fn on_poll_failed(&mut self, now: Duration, endpoint: &str, out: &mut Vec<Decision>) {
         let Some(site) = self.sites.get_mut(endpoint) else { return };
         site.health.note_failure();
         self.check_health(now, out);
@@ -251,7 +251,7 @@
     }
 
     /// Records what an endpoint says of its prefix cache: evictions, or `None` after a gap.
-    pub fn evicted(&mut self, endpoint: &str, prefixes: Option<&[u64]>) {
+    pub fn on_evicted(&mut self, endpoint: &str, prefixes: Option<&[u64]>) {
         if let Some(site) = self.sites.get_mut(endpoint) {
             site.forget_prefixes(prefixes);
         }
--- a/crates/rudder-route/tests/pool.rs
+++ b/crates/rudder-route/tests/pool.rs
@@ -308,6 +308,6 @@
         .collect();
     assert_eq!(places[..2], [true, true]);
     assert!(places.contains(&false), "load beats affinity past a bound");
-    bench.pool.evicted(&home, None);
+    bench.pool.on_evicted(&home, None);
     assert!(bench.pool.endpoint(&home).is_some());
 }
