--- a/crates/rudder-route/src/pool.rs
+++ b/crates/rudder-route/src/pool.rs
@@ -289,7 +289,7 @@
     }
 
     /// Lets go of all that an entry had, once it is gone.
-    pub fn drop_entry(&mut self, now: Duration, is_live: impl Fn(&SlotRequest) -> bool, out: &mut Vec<Decision>) {
+    pub fn retain_live(&mut self, now: Duration, is_live: impl Fn(&SlotRequest) -> bool, out: &mut Vec<Decision>) {
         let waiting = self.queue.iter().map(|waiting| &waiting.ask);
         let running = self.sites.values().flat_map(|site| site.running.values().map(|running| &running.ask));
         let gone = waiting.chain(running).filter(|ask| !is_live(ask));
