--- a/crates/rudder-core/src/duties/scaling.rs
+++ b/crates/rudder-core/src/duties/scaling.rs
@@ -9,7 +9,7 @@
 
 use rudder_events::What;
 use rudder_model::HallId;
-use rudder_route::scale::{Bounds, Demand, HallEngines, ScaleOptions, Scaler, Wanted};
+use rudder_route::scale::{Bounds, Demand, DesiredEngines, HallEngines, ScaleOptions, Scaler};
 
 use super::{Backoff, CallOutcome, Context, DutyCall, Fence, Flying, fence};
 use crate::Effect;
@@ -36,7 +36,7 @@
 #[derive(Debug)]
 pub(crate) struct Plan {
     state: ServiceState,
-    wanted: Vec<Wanted>,
+    wanted: Vec<DesiredEngines>,
 }
 
 /// What an order is about: engines of one kind of a service in a hall.
--- a/crates/rudder-route/src/scale.rs
+++ b/crates/rudder-route/src/scale.rs
@@ -67,7 +67,7 @@
 
 /// Engines that a hall should have.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wanted {
+pub struct DesiredEngines {
     /// The hall.
     pub hall: HallId,
     /// Engines at full price; `None` where that cannot be told yet.
@@ -136,7 +136,7 @@
         demand: Demand,
         halls: &[HallEngines],
         options: &ScaleOptions,
-    ) -> Vec<Wanted> {
+    ) -> Vec<DesiredEngines> {
         let needs = self.needs(now, demand, halls, options);
         let fresh = self.is_fresh(halls);
         let settled = self.is_settled(now);
@@ -197,7 +197,7 @@
     }
 
     /// Keeps cheap engines that have just become spare: they stood in for a hall that lost its own, and may have to again.
-    fn keep_spare(&mut self, now: Duration, halls: &[HallEngines], wanted: &mut [Wanted]) {
+    fn keep_spare(&mut self, now: Duration, halls: &[HallEngines], wanted: &mut [DesiredEngines]) {
         for (want, held) in wanted.iter_mut().zip(halls) {
             if held.cheap <= want.cheap {
                 self.spare.remove(&held.hall);
@@ -218,7 +218,7 @@
         needs: Needs,
         bounds: &Bounds,
         (demand, halls): (Demand, &[HallEngines]),
-        wanted: &mut [Wanted],
+        wanted: &mut [DesiredEngines],
     ) {
         let planned: u32 = wanted.iter().filter_map(|want| want.full).sum();
         let cheap: u32 = halls.iter().map(|held| held.cheap).sum();
@@ -269,7 +269,7 @@
 }
 
 /// Spreads what is needed over the halls.
-fn spread(needs: Needs, bounds: &Bounds, halls: &[HallEngines], options: &ScaleOptions) -> Vec<Wanted> {
+fn spread(needs: Needs, bounds: &Bounds, halls: &[HallEngines], options: &ScaleOptions) -> Vec<DesiredEngines> {
     let to_place = |held| Place {
         held,
         price: bounds.prices.get(&held.hall).copied().unwrap_or(1.0),
@@ -303,7 +303,7 @@
     }
     places
         .iter()
-        .map(|place| Wanted { hall: place.held.hall.clone(), full: Some(place.full), cheap: place.cheap })
+        .map(|place| DesiredEngines { hall: place.held.hall.clone(), full: Some(place.full), cheap: place.cheap })
         .collect()
 }
 
--- a/crates/rudder-route/tests/scale.rs
+++ b/crates/rudder-route/tests/scale.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use rudder_route::scale::{Bounds, Demand, HallEngines, ScaleOptions, Scaler, Wanted};
+use rudder_route::scale::{Bounds, Demand, DesiredEngines, HallEngines, ScaleOptions, Scaler};
 
 const HALLS: [&str; 3] = ["sea", "pdx", "boi"];
 const SLOTS: u32 = 100;
@@ -29,11 +29,11 @@
     Demand { calls: (f64::from(engines * SLOTS) * ScaleOptions::default().slots) as u32, slots: SLOTS }
 }
 
-fn full(wanted: &[Wanted]) -> [u32; 3] {
+fn full(wanted: &[DesiredEngines]) -> [u32; 3] {
     [0, 1, 2].map(|at| wanted[at].full.expect("it can be told"))
 }
 
-fn cheap(wanted: &[Wanted]) -> [u32; 3] {
+fn cheap(wanted: &[DesiredEngines]) -> [u32; 3] {
     [wanted[0].cheap, wanted[1].cheap, wanted[2].cheap]
 }
 
@@ -53,7 +53,7 @@
     scaler
 }
 
-fn plan(scaler: &mut Scaler, now: u64, demand: Demand, halls: &[HallEngines]) -> Vec<Wanted> {
+fn plan(scaler: &mut Scaler, now: u64, demand: Demand, halls: &[HallEngines]) -> Vec<DesiredEngines> {
     scaler.plan(at(now), &bounds(), demand, halls, &ScaleOptions::default())
 }
 
@@ -191,7 +191,7 @@
         let mut scaler = started([20; 3]);
         let there = halls([0; 3], [30; 3]);
         let wanted = plan(&mut scaler, 5, demand(needed), &there);
-        let count = |want: &Wanted| want.full.expect("it can be told") + want.cheap;
+        let count = |want: &DesiredEngines| want.full.expect("it can be told") + want.cheap;
         let total: u32 = wanted.iter().map(count).sum();
         for want in &wanted {
             assert!((1..=40).contains(&count(want)), "{wanted:?}");
