--- a/crates/rudder-gateway/src/ramp.rs
+++ b/crates/rudder-gateway/src/ramp.rs
@@ -8,7 +8,7 @@
 use rudder_clock::Moment;
 use rudder_core::Registration;
 use rudder_model::{EndpointId, HallId, InstanceId};
-use rudder_route::slow_start::{Sent, Share, SlowStart};
+use rudder_route::slow_start::{SendHistory, Share, SlowStart};
 
 use crate::plan::WarmUp;
 
@@ -39,7 +39,7 @@
     senders: Vec<InstanceId>,
     /// When it was learned that the evacuation of a hall has ended.
     returned: HashMap<HallId, Moment>,
-    sent: HashMap<EndpointId, Sent>,
+    sent: HashMap<EndpointId, SendHistory>,
 }
 
 impl Ramp {
--- a/crates/rudder-route/examples/rate_limits.rs
+++ b/crates/rudder-route/examples/rate_limits.rs
@@ -9,7 +9,7 @@
 use rudder_model::RequestRate;
 use rudder_route::{
     rate_limit::RateLimiter,
-    slow_start::{Sent, Share, SlowStart},
+    slow_start::{SendHistory, Share, SlowStart},
 };
 
 /// Length of a run.
@@ -84,7 +84,7 @@
 /// A few instances, named by a hash, have shares; the others send nothing.
 struct NamedFew {
     shares: Vec<Option<Share>>,
-    sent: Vec<Sent>,
+    sent: Vec<SendHistory>,
 }
 
 impl Way for NamedFew {
@@ -95,7 +95,7 @@
         let endpoint = format!("e-{seed}");
         let all = || names.iter().map(String::as_str);
         let shares = names.iter().map(|me| SlowStart::default().share(&endpoint, limit, me, all())).collect();
-        NamedFew { shares, sent: vec![Sent::default(); instances] }
+        NamedFew { shares, sent: vec![SendHistory::default(); instances] }
     }
 
     fn may_send(&mut self, instance: usize, now: Duration) -> bool {
--- a/crates/rudder-route/src/slow_start.rs
+++ b/crates/rudder-route/src/slow_start.rs
@@ -68,11 +68,11 @@
 
 /// When requests were sent to one endpoint, as far back as a share's window reaches.
 #[derive(Clone, Debug, Default)]
-pub struct Sent {
+pub struct SendHistory {
     times: VecDeque<Duration>,
 }
 
-impl Sent {
+impl SendHistory {
     /// True where one more may be sent at `now`.
     pub fn has_room(&self, now: Duration, share: Share) -> bool {
         self.times.iter().filter(|sent| now < **sent + share.window).count() < share.count
--- a/crates/rudder-route/tests/slow_start.rs
+++ b/crates/rudder-route/tests/slow_start.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeSet, time::Duration};
 
-use rudder_route::slow_start::{Sent, Share, SlowStart};
+use rudder_route::slow_start::{SendHistory, Share, SlowStart};
 
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -88,7 +88,7 @@
 #[test]
 fn no_more_is_sent_within_the_window() {
     let share = Share { count: 2, window: SECOND };
-    let mut sent = Sent::default();
+    let mut sent = SendHistory::default();
     let mut times = Vec::new();
     for millis in (0..5_000).step_by(10) {
         let now = Duration::from_millis(millis);
