--- a/crates/rudder-core/src/duties/scaling.rs
+++ b/crates/rudder-core/src/duties/scaling.rs
@@ -95,12 +95,12 @@
             let ServiceState { service, bounds, demand, halls } = state;
             for (want, held) in wanted.iter().zip(&halls) {
                 // First those at full price: where fewer are wanted, that makes room for cheap ones.
-                let cheap = bounds.cheap.map(|_| want.cheap);
+                let cheap = bounds.spot_price.map(|_| want.cheap);
                 let kinds = [(false, want.full, held.full), (true, cheap, held.cheap)];
                 for (cheap, count, there) in kinds {
                     let Some(count) = count else { continue };
                     let subject = Subject { service: service.clone(), hall: want.hall.clone(), cheap };
-                    self.order(context, subject, (count, there), bounds.boot, demand, tickets);
+                    self.order(context, subject, (count, there), bounds.boot_time, demand, tickets);
                 }
             }
         }
--- a/crates/rudder-core/tests/duties.rs
+++ b/crates/rudder-core/tests/duties.rs
@@ -251,10 +251,10 @@
 fn describe(mesh: &mut Mesh, demand: Demand, full: [u32; 3], cheap: [u32; 3]) {
     let hall = |at: usize| format!("hall-{at}").as_str().into();
     let bounds = Bounds {
-        least: 1,
-        most: 40,
-        boot: Duration::from_secs(4),
-        cheap: Some(0.15),
+        min: 1,
+        max: 40,
+        boot_time: Duration::from_secs(4),
+        spot_price: Some(0.15),
         prices: (0..3).map(|at| (hall(at), 1.0)).collect(),
     };
     let halls = (0..3).map(|at| HallEngines { hall: hall(at), full: full[at], cheap: cheap[at], barred: false });
--- a/crates/rudder-route/src/scale.rs
+++ b/crates/rudder-route/src/scale.rs
@@ -32,13 +32,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
     /// Engines in a hall at least, both kinds together.
-    pub least: u32,
+    pub min: u32,
     /// Engines in a hall at most, both kinds together.
-    pub most: u32,
+    pub max: u32,
     /// From an order until a new engine serves.
-    pub boot: Duration,
+    pub boot_time: Duration,
     /// What an engine that may be taken away costs, as a part of the others; `None` where there are none.
-    pub cheap: Option<f64>,
+    pub spot_price: Option<f64>,
     /// Price of an engine by hall.
     pub prices: BTreeMap<HallId, f64>,
 }
@@ -148,7 +148,7 @@
         self.keep_spare(now, halls, &mut wanted);
         for want in &mut wanted {
             // An order for cheap ones waits for room below the bound on both kinds.
-            want.cheap = want.cheap.min(bounds.most.saturating_sub(want.full.unwrap_or_default()));
+            want.cheap = want.cheap.min(bounds.max.saturating_sub(want.full.unwrap_or_default()));
         }
         if !settled {
             for want in &mut wanted {
@@ -231,7 +231,7 @@
             }
             let paused = busy && self.let_go.is_some_and(|at| now < at + LET_GO_PAUSE);
             if lacks || paused {
-                want.full = Some(held.full.min(bounds.most));
+                want.full = Some(held.full.min(bounds.max));
             } else {
                 self.let_go = Some(now);
             }
@@ -264,7 +264,7 @@
     }
 
     fn room(&self, bounds: &Bounds) -> u32 {
-        bounds.most.saturating_sub(self.full + self.counted())
+        bounds.max.saturating_sub(self.full + self.counted())
     }
 }
 
@@ -273,16 +273,16 @@
     let to_place = |held| Place {
         held,
         price: bounds.prices.get(&held.hall).copied().unwrap_or(1.0),
-        open: bounds.cheap.is_some() && !held.barred,
+        open: bounds.spot_price.is_some() && !held.barred,
         full: 0,
         cheap: 0,
     };
     let needed = needs.lasting;
     let mut places: Vec<Place> = halls.iter().map(to_place).collect();
-    let floor = if bounds.cheap.is_some() { (f64::from(needed) * options.floor).ceil() as u32 } else { 0 };
+    let floor = if bounds.spot_price.is_some() { (f64::from(needed) * options.floor).ceil() as u32 } else { 0 };
     add_full(floor, bounds, &mut places);
     let count = places.iter().filter(|place| place.open).count() as u32;
-    if bounds.cheap.is_some() {
+    if bounds.spot_price.is_some() {
         // Without one of the halls the others have to be enough. Where none are to be had anywhere, they are asked for all the
         // same, and those at full price stay until they come.
         let bearing = match count {
@@ -290,16 +290,16 @@
             count if options.reserve && count > 1 => count - 1,
             count => count,
         };
-        let each = needed.saturating_sub(floor).div_ceil(bearing).max(bounds.least);
+        let each = needed.saturating_sub(floor).div_ceil(bearing).max(bounds.min);
         for place in &mut places {
-            place.cheap = each.min(bounds.most.saturating_sub(place.full));
+            place.cheap = each.min(bounds.max.saturating_sub(place.full));
         }
     }
     let planned: u32 = places.iter().map(|place| place.full + place.counted()).sum();
-    let bearing = if bounds.cheap.is_some() { needs.pressing } else { needed };
+    let bearing = if bounds.spot_price.is_some() { needs.pressing } else { needed };
     add_full(bearing.saturating_sub(planned), bounds, &mut places);
     for place in &mut places {
-        place.full += bounds.least.saturating_sub(place.full + place.cheap);
+        place.full += bounds.min.saturating_sub(place.full + place.cheap);
     }
     places
         .iter()
--- a/crates/rudder-route/tests/scale.rs
+++ b/crates/rudder-route/tests/scale.rs
@@ -11,10 +11,10 @@
 fn bounds() -> Bounds {
     let prices = [("sea", 0.85), ("pdx", 1.2), ("boi", 1.0)];
     Bounds {
-        least: 1,
-        most: 40,
-        boot: Duration::from_secs(4),
-        cheap: Some(0.15),
+        min: 1,
+        max: 40,
+        boot_time: Duration::from_secs(4),
+        spot_price: Some(0.15),
         prices: prices.into_iter().map(|(hall, price)| (hall.into(), price)).collect(),
     }
 }
@@ -170,13 +170,13 @@
         assert_eq!(cheap(&plan(&mut scaler, 36, demand(30), &there)), [30, 30, 30]);
     };
     without_cheap_ones_the_cheapest_halls_have_room_first: || {
-        let bounds = Bounds { cheap: None, ..bounds() };
+        let bounds = Bounds { spot_price: None, ..bounds() };
         let (mut scaler, there) = (started([1, 1, 0]), halls([1, 1, 0], [0; 3]));
         let wanted = scaler.plan(at(3), &bounds, demand(7), &there, &ScaleOptions::default());
         assert_eq!((full(&wanted), cheap(&wanted)), ([3, 2, 2], [0; 3]));
     };
     every_hall_has_its_least: || {
-        let bounds = Bounds { least: 4, ..bounds() };
+        let bounds = Bounds { min: 4, ..bounds() };
         let (mut scaler, there) = (started([1, 0, 0]), halls([1, 0, 0], [0; 3]));
         let wanted = scaler.plan(at(3), &bounds, Demand::default(), &there, &ScaleOptions::default());
         assert!(wanted.iter().all(|want| want.full.unwrap_or_default() + want.cheap >= 4), "{wanted:?}");
