--- a/crates/rudder-core/src/duties/scaling.rs
+++ b/crates/rudder-core/src/duties/scaling.rs
@@ -80,7 +80,7 @@
         for mut state in states {
             for held in &mut state.halls {
                 let subject = Subject { service: state.service.clone(), hall: held.hall.clone(), cheap: true };
-                held.barred = self.orders.get(&subject).is_some_and(|standing| standing.barred);
+                held.spot_unavailable = self.orders.get(&subject).is_some_and(|standing| standing.barred);
             }
             let scaler = self.scalers.entry(state.service.clone()).or_default();
             let wanted = scaler.plan(now, &state.bounds, state.demand, &state.halls, options);
@@ -95,8 +95,8 @@
             let ServiceState { service, bounds, demand, halls } = state;
             for (want, held) in wanted.iter().zip(&halls) {
                 // First those at full price: where fewer are wanted, that makes room for cheap ones.
-                let cheap = bounds.spot_price.map(|_| want.cheap);
-                let kinds = [(false, want.full, held.full), (true, cheap, held.cheap)];
+                let cheap = bounds.spot_price.map(|_| want.spot);
+                let kinds = [(false, want.on_demand, held.on_demand), (true, cheap, held.spot)];
                 for (cheap, count, there) in kinds {
                     let Some(count) = count else { continue };
                     let subject = Subject { service: service.clone(), hall: want.hall.clone(), cheap };
--- a/crates/rudder-core/tests/duties.rs
+++ b/crates/rudder-core/tests/duties.rs
@@ -257,7 +257,8 @@
         spot_price: Some(0.15),
         prices: (0..3).map(|at| (hall(at), 1.0)).collect(),
     };
-    let halls = (0..3).map(|at| HallEngines { hall: hall(at), full: full[at], cheap: cheap[at], barred: false });
+    let halls =
+        (0..3).map(|at| HallEngines { hall: hall(at), on_demand: full[at], spot: cheap[at], spot_unavailable: false });
     let state = ServiceState { service: "svc".into(), bounds, demand, halls: halls.collect() };
     if let Some(number) = mesh.leader() {
         mesh.tell(number, Event::Services(vec![state]));
--- a/crates/rudder-gateway/src/scaling.rs
+++ b/crates/rudder-gateway/src/scaling.rs
@@ -32,6 +32,7 @@
         let (full, cheap) = halls.entry(held.hall.clone()).or_default();
         *if held.cheap { cheap } else { full } += 1;
     }
-    let to_engines = |(hall, (full, cheap))| HallEngines { hall, full, cheap, barred: false };
+    let to_engines =
+        |(hall, (full, cheap))| HallEngines { hall, on_demand: full, spot: cheap, spot_unavailable: false };
     halls.into_iter().map(to_engines).collect()
 }
--- a/crates/rudder-route/src/scale.rs
+++ b/crates/rudder-route/src/scale.rs
@@ -1,8 +1,8 @@
 //! How many engines a service should have in each hall, and of which kind.
 //!
 //! Engines that may be taken away at short notice cost a small part of the others, so what is needed stands on them,
-//! spread over the halls with so many more that the loss of all of one hall leaves enough. Engines at full price are the
-//! floor below that, and what fills in where none of the cheap ones are to be had.
+//! spread over the halls with so many more that the loss of all of one hall leaves enough. On-demand engines are the
+//! floor below that, and what fills in where none of the spot ones are to be had.
 //!
 //! The policy knows no clock: time comes in with each call, and what it remembers of the demand is its own.
 
@@ -48,12 +48,12 @@
 pub struct HallEngines {
     /// The hall.
     pub hall: HallId,
-    /// Engines at full price that take work.
-    pub full: u32,
+    /// On-demand engines that take work.
+    pub on_demand: u32,
     /// Engines that may be taken away and that take work.
-    pub cheap: u32,
+    pub spot: u32,
     /// No more that may be taken away are to be had here for now.
-    pub barred: bool,
+    pub spot_unavailable: bool,
 }
 
 /// The work that callers ask of a service.
@@ -70,10 +70,10 @@
 pub struct DesiredEngines {
     /// The hall.
     pub hall: HallId,
-    /// Engines at full price; `None` where that cannot be told yet.
-    pub full: Option<u32>,
+    /// On-demand engines; `None` where that cannot be told yet.
+    pub on_demand: Option<u32>,
     /// Engines that may be taken away.
-    pub cheap: u32,
+    pub spot: u32,
 }
 
 /// Settings of the policy.
@@ -84,11 +84,11 @@
     pub enabled: bool,
     /// Part of its slots that an engine is to be used for: at more, long prompts wait for each other.
     pub slots: f64,
-    /// Engines at full price fill in for cheap ones where the others would be used for this many times that part.
+    /// On-demand engines fill in for spot ones where the others would be used for this many times that part.
     pub pressing: f64,
     /// Seconds for which the highest demand is remembered: engines are let go only after it.
     pub hold: f64,
-    /// Engines at full price, as a part of what is needed.
+    /// On-demand engines, as a part of what is needed.
     pub floor: f64,
     /// Engines beyond those needed, so that the loss of all of one hall that may be taken away leaves enough.
     pub reserve: bool,
@@ -105,7 +105,7 @@
 struct Needs {
     /// For the highest demand remembered, or as many as the operator had.
     lasting: u32,
-    /// For the demand of the last seconds: worth engines at full price where there are no others.
+    /// For the demand of the last seconds: worth on-demand engines where there are no others.
     pressing: u32,
     /// As many as the operator had, while demand has not been watched for long.
     usual: u32,
@@ -122,12 +122,12 @@
     /// When demand was first seen.
     since: Option<Duration>,
     let_go: Option<Duration>,
-    /// Since when a hall has had more cheap engines than planned.
+    /// Since when a hall has had more spot engines than planned.
     spare: BTreeMap<HallId, Duration>,
 }
 
 impl Scaler {
-    /// What each hall should have. While not all engines may have been heard of, nothing is ordered but cheap ones where
+    /// What each hall should have. While not all engines may have been heard of, nothing is ordered but spot ones where
     /// there are none yet: those do no harm, and the others are the dearer the longer they are waited for.
     pub fn plan(
         &mut self,
@@ -147,12 +147,12 @@
         self.keep_until_replaced(now, needs, bounds, (demand, halls), &mut wanted);
         self.keep_spare(now, halls, &mut wanted);
         for want in &mut wanted {
-            // An order for cheap ones waits for room below the bound on both kinds.
-            want.cheap = want.cheap.min(bounds.max.saturating_sub(want.full.unwrap_or_default()));
+            // An order for spot ones waits for room below the bound on both kinds.
+            want.spot = want.spot.min(bounds.max.saturating_sub(want.on_demand.unwrap_or_default()));
         }
         if !settled {
             for want in &mut wanted {
-                want.full = None;
+                want.on_demand = None;
             }
         }
         wanted
@@ -163,9 +163,9 @@
         now >= *self.began.get_or_insert(now) + GATHER
     }
 
-    /// True where no cheap engines have ever been ordered, as far as is known here.
+    /// True where no spot engines have ever been ordered, as far as is known here.
     fn is_fresh(&self, halls: &[HallEngines]) -> bool {
-        self.since.is_none() && halls.iter().all(|held| held.cheap == 0)
+        self.since.is_none() && halls.iter().all(|held| held.spot == 0)
     }
 
     /// Engines needed for the demand that there is and that there was.
@@ -196,21 +196,21 @@
         Needs { lasting: (peak.ceil() as u32).max(usual).max(1), pressing: pressing.ceil() as u32, usual }
     }
 
-    /// Keeps cheap engines that have just become spare: they stood in for a hall that lost its own, and may have to again.
+    /// Keeps spot engines that have just become spare: they stood in for a hall that lost its own, and may have to again.
     fn keep_spare(&mut self, now: Duration, halls: &[HallEngines], wanted: &mut [DesiredEngines]) {
         for (want, held) in wanted.iter_mut().zip(halls) {
-            if held.cheap <= want.cheap {
+            if held.spot <= want.spot {
                 self.spare.remove(&held.hall);
                 continue;
             }
             let since = *self.spare.entry(held.hall.clone()).or_insert(now);
             if now < since + SPARE_KEPT {
-                want.cheap = held.cheap;
+                want.spot = held.spot;
             }
         }
     }
 
-    /// Keeps engines at full price beyond the plan until others have taken their place, and then lets those of one hall
+    /// Keeps on-demand engines beyond the plan until others have taken their place, and then lets those of one hall
     /// go at a time.
     fn keep_until_replaced(
         &mut self,
@@ -220,18 +220,18 @@
         (demand, halls): (Demand, &[HallEngines]),
         wanted: &mut [DesiredEngines],
     ) {
-        let planned: u32 = wanted.iter().filter_map(|want| want.full).sum();
-        let cheap: u32 = halls.iter().map(|held| held.cheap).sum();
-        let lacks = needs.usual.max(needs.pressing) > planned + cheap;
+        let planned: u32 = wanted.iter().filter_map(|want| want.on_demand).sum();
+        let spot: u32 = halls.iter().map(|held| held.spot).sum();
+        let lacks = needs.usual.max(needs.pressing) > planned + spot;
         let busy = demand.calls > 0;
         for (want, held) in wanted.iter_mut().zip(halls) {
-            let extra = held.full.saturating_sub(want.full.unwrap_or_default());
+            let extra = held.on_demand.saturating_sub(want.on_demand.unwrap_or_default());
             if extra == 0 {
                 continue;
             }
             let paused = busy && self.let_go.is_some_and(|at| now < at + LET_GO_PAUSE);
             if lacks || paused {
-                want.full = Some(held.full.min(bounds.max));
+                want.on_demand = Some(held.on_demand.min(bounds.max));
             } else {
                 self.let_go = Some(now);
             }
@@ -242,8 +242,8 @@
 /// Engines that there are without the reserve for the loss of a hall: an instance that takes over must not take the
 /// reserve for needed and order one for it too.
 fn count_bearing(halls: &[HallEngines], options: &ScaleOptions) -> u32 {
-    let total: u32 = halls.iter().map(|held| held.full + held.cheap).sum();
-    let largest = halls.iter().map(|held| held.cheap).max().unwrap_or_default();
+    let total: u32 = halls.iter().map(|held| held.on_demand + held.spot).sum();
+    let largest = halls.iter().map(|held| held.spot).max().unwrap_or_default();
     total - if options.reserve { largest } else { 0 }
 }
 
@@ -253,18 +253,18 @@
     price: f64,
     /// Cheap ones are to be had here.
     open: bool,
-    full: u32,
-    cheap: u32,
+    on_demand: u32,
+    spot: u32,
 }
 
 impl Place<'_> {
     /// Cheap engines that can be counted on: what is ordered where none are to be had may come later.
     fn counted(&self) -> u32 {
-        if self.open { self.cheap } else { self.held.cheap }
+        if self.open { self.spot } else { self.held.spot }
     }
 
     fn room(&self, bounds: &Bounds) -> u32 {
-        bounds.max.saturating_sub(self.full + self.counted())
+        bounds.max.saturating_sub(self.on_demand + self.counted())
     }
 }
 
@@ -273,18 +273,18 @@
     let to_place = |held| Place {
         held,
         price: bounds.prices.get(&held.hall).copied().unwrap_or(1.0),
-        open: bounds.spot_price.is_some() && !held.barred,
-        full: 0,
-        cheap: 0,
+        open: bounds.spot_price.is_some() && !held.spot_unavailable,
+        on_demand: 0,
+        spot: 0,
     };
     let needed = needs.lasting;
     let mut places: Vec<Place> = halls.iter().map(to_place).collect();
     let floor = if bounds.spot_price.is_some() { (f64::from(needed) * options.floor).ceil() as u32 } else { 0 };
-    add_full(floor, bounds, &mut places);
+    add_on_demand(floor, bounds, &mut places);
     let count = places.iter().filter(|place| place.open).count() as u32;
     if bounds.spot_price.is_some() {
         // Without one of the halls the others have to be enough. Where none are to be had anywhere, they are asked for all the
-        // same, and those at full price stay until they come.
+        // same, and on-demand ones stay until they come.
         let bearing = match count {
             0 => places.len() as u32,
             count if options.reserve && count > 1 => count - 1,
@@ -292,27 +292,32 @@
         };
         let each = needed.saturating_sub(floor).div_ceil(bearing).max(bounds.min);
         for place in &mut places {
-            place.cheap = each.min(bounds.max.saturating_sub(place.full));
+            place.spot = each.min(bounds.max.saturating_sub(place.on_demand));
         }
     }
-    let planned: u32 = places.iter().map(|place| place.full + place.counted()).sum();
+    let planned: u32 = places.iter().map(|place| place.on_demand + place.counted()).sum();
     let bearing = if bounds.spot_price.is_some() { needs.pressing } else { needed };
-    add_full(bearing.saturating_sub(planned), bounds, &mut places);
+    add_on_demand(bearing.saturating_sub(planned), bounds, &mut places);
     for place in &mut places {
-        place.full += bounds.min.saturating_sub(place.full + place.cheap);
+        place.on_demand += bounds.min.saturating_sub(place.on_demand + place.spot);
     }
     places
         .iter()
-        .map(|place| DesiredEngines { hall: place.held.hall.clone(), full: Some(place.full), cheap: place.cheap })
+        .map(|place| DesiredEngines {
+            hall: place.held.hall.clone(),
+            on_demand: Some(place.on_demand),
+            spot: place.spot,
+        })
         .collect()
 }
 
-/// Adds engines at full price, in turn to the halls with room, the cheapest first.
-fn add_full(count: u32, bounds: &Bounds, places: &mut [Place]) {
+/// Adds on-demand engines, in turn to the halls with room, the cheapest first.
+fn add_on_demand(count: u32, bounds: &Bounds, places: &mut [Place]) {
     for _ in 0..count {
         let with_room = places.iter_mut().filter(|place| place.room(bounds) > 0);
-        let next = with_room.min_by(|one, other| one.full.cmp(&other.full).then(one.price.total_cmp(&other.price)));
+        let next =
+            with_room.min_by(|one, other| one.on_demand.cmp(&other.on_demand).then(one.price.total_cmp(&other.price)));
         let Some(next) = next else { return };
-        next.full += 1;
+        next.on_demand += 1;
     }
 }
