--- a/crates/rudder-core/src/spread.rs
+++ b/crates/rudder-core/src/delta_map.rs
@@ -60,7 +60,7 @@
 
 /// The entries, at the leader or as a copy.
 #[derive(Clone, Debug)]
-pub struct Spread<K, V> {
+pub struct DeltaMap<K, V> {
     items: BTreeMap<K, Item<V>>,
     removed: BTreeMap<K, Version>,
     version: Version,
@@ -72,9 +72,9 @@
     by_change: BTreeSet<(Version, K)>,
 }
 
-impl<K, V> Default for Spread<K, V> {
+impl<K, V> Default for DeltaMap<K, V> {
     fn default() -> Self {
-        Spread {
+        DeltaMap {
             items: BTreeMap::new(),
             removed: BTreeMap::new(),
             version: 0,
@@ -85,7 +85,7 @@
     }
 }
 
-impl<K: Ord + Clone, V: Clone + PartialEq> Spread<K, V> {
+impl<K: Ord + Clone, V: Clone + PartialEq> DeltaMap<K, V> {
     /// The version held.
     pub fn version(&self) -> Version {
         self.version
@@ -214,7 +214,7 @@
         self.insert(key, value, changed, true);
     }
 
-    /// Drops entries here alone, where `kept` says so; a leader uses [`Spread::remove`].
+    /// Drops entries here alone, where `kept` says so; a leader uses [`DeltaMap::remove`].
     pub fn retain_local(&mut self, kept: impl Fn(&K, &V) -> bool) {
         self.retain(|key, item| kept(key, &item.value));
     }
--- a/crates/rudder-core/src/hall_tags.rs
+++ b/crates/rudder-core/src/hall_tags.rs
@@ -8,7 +8,7 @@
 
 use rudder_model::{EndpointTag, HallId, id};
 
-use crate::{Registry, spread::Version, subset::Scope};
+use crate::{Registry, delta_map::Version, subset::Scope};
 
 /// Time between two looks through the registry for one hall: it has thousands of endpoints, and changes all the time.
 const PAUSE: Duration = Duration::from_millis(500);
--- a/crates/rudder-core/src/peer.rs
+++ b/crates/rudder-core/src/peer.rs
@@ -9,10 +9,10 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
+    delta_map::{News, Version},
     limits::LimitReport,
     permits::{PermitAnswer, PermitRequest},
     registry::{Registration, RegistryNews},
-    spread::{News, Version},
     subset::Scope,
     tally::{UsageNews, UsageTaken},
 };
--- a/crates/rudder-core/src/permits.rs
+++ b/crates/rudder-core/src/permits.rs
@@ -12,7 +12,7 @@
 use rudder_route::rate_limit::{RateLimiter, Tier};
 use serde::{Deserialize, Serialize};
 
-use crate::{Effect, Me, Options, PeerMessage, limits::LimitReport, spread::Version, view::View};
+use crate::{Effect, Me, Options, PeerMessage, delta_map::Version, limits::LimitReport, view::View};
 
 /// The holder's answer is waited for this long.
 const ANSWER: Duration = Duration::from_millis(150);
--- a/crates/rudder-core/src/registry/mod.rs
+++ b/crates/rudder-core/src/registry/mod.rs
@@ -13,8 +13,8 @@
 
 use crate::{
     Options,
+    delta_map::{DeltaMap, News, Version},
     lives::{Lives, Standing},
-    spread::{News, Spread, Version},
     subset::{Scope, Subsets},
 };
 
@@ -111,7 +111,7 @@
 #[derive(Clone, Debug)]
 pub struct Registry {
     /// Shared with all who hold a copy: there are thousands, and few of them change.
-    entries: Spread<EndpointId, Arc<Registration>>,
+    entries: DeltaMap<EndpointId, Arc<Registration>>,
     /// When each was last heard of, here.
     heard: HashMap<EndpointId, Duration>,
     /// The last endpoint that came at each address.
@@ -155,7 +155,7 @@
     /// An empty one, in which endpoints unheard for `silence` are shown as silent.
     pub fn new(silence: Duration) -> Registry {
         Registry {
-            entries: Spread::default(),
+            entries: DeltaMap::default(),
             heard: HashMap::new(),
             addresses: HashMap::new(),
             lives: Lives::default(),
@@ -183,12 +183,12 @@
             // Were it used here, this instance would not be told when it leaves.
             return Change::None;
         }
-        self.take_in(now, registration, false, Spread::set_local)
+        self.take_in(now, registration, false, DeltaMap::set_local)
     }
 
     /// Records what an endpoint said, at the leader.
     pub fn hear_as_leader(&mut self, now: Duration, registration: &Registration) -> Change {
-        self.take_in(now, registration, true, Spread::set)
+        self.take_in(now, registration, true, DeltaMap::set)
     }
 
     /// Records what an endpoint said; `leads` at the leader, where `put` puts in what others should know of.
@@ -197,7 +197,7 @@
         now: Duration,
         said: &Registration,
         leads: bool,
-        put: impl Fn(&mut Spread<EndpointId, Arc<Registration>>, EndpointId, Arc<Registration>),
+        put: impl Fn(&mut DeltaMap<EndpointId, Arc<Registration>>, EndpointId, Arc<Registration>),
     ) -> Change {
         let Some(before) = self.find_before(now, said, leads) else { return Change::None };
         let other = self.other_at(now, said).filter(|other| other.name() != said.name());
@@ -293,7 +293,7 @@
         self.addresses = live.map(|held| (held.address.clone(), held.endpoint.clone())).collect();
         self.lives = Lives::default();
         let followed = self.lives.learn(self.entries.values());
-        self.replace(followed, Spread::set);
+        self.replace(followed, DeltaMap::set);
     }
 
     /// Ages the leader's entries: the unheard become silent, then are dropped.
@@ -341,7 +341,7 @@
             self.addresses.extend(live);
             let told = told.iter().filter_map(|endpoint| self.entries.get(endpoint));
             let followed = self.lives.learn(told);
-            self.replace(followed, Spread::set_local);
+            self.replace(followed, DeltaMap::set_local);
         }
         if taken && removes {
             self.heard.retain(|endpoint, _| self.entries.get(endpoint).is_some());
@@ -354,7 +354,7 @@
     fn replace(
         &mut self,
         lives: Vec<EndpointId>,
-        put: impl Fn(&mut Spread<EndpointId, Arc<Registration>>, EndpointId, Arc<Registration>),
+        put: impl Fn(&mut DeltaMap<EndpointId, Arc<Registration>>, EndpointId, Arc<Registration>),
     ) {
         for life in lives {
             let Some(held) = self.entries.get(&life).filter(|held| held.phase < Phase::Replaced) else { continue };
--- a/crates/rudder-core/src/registry/scope.rs
+++ b/crates/rudder-core/src/registry/scope.rs
@@ -6,7 +6,7 @@
 use rudder_model::HallId;
 
 use super::{Registration, Registry, RegistryNews};
-use crate::{spread::Version, subset::Scope};
+use crate::{delta_map::Version, subset::Scope};
 
 /// Endpoints told in one answer: some 400 KB, which a link of 10 Mbit/s carries in a third of a second.
 const PAGE: usize = 4_000;
--- a/crates/rudder-core/src/subset.rs
+++ b/crates/rudder-core/src/subset.rs
@@ -15,8 +15,8 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
+    delta_map::Version,
     registry::{Phase, Registration},
-    spread::Version,
 };
 
 /// Endpoints of a service in a hall that are in use as long as they are enough: a few hundred instances have room for all
--- a/crates/rudder-core/src/tree.rs
+++ b/crates/rudder-core/src/tree.rs
@@ -10,7 +10,7 @@
 use rudder_model::{InstanceId, id};
 use serde::Deserialize;
 
-use crate::{Listing, Me, spread::Spread};
+use crate::{Listing, Me, delta_map::DeltaMap};
 
 /// Settings of the tree. All instances must have the same.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
@@ -34,7 +34,7 @@
 }
 
 /// The directory of live instances.
-pub type Directory = Spread<InstanceId, Listing>;
+pub type Directory = DeltaMap<InstanceId, Listing>;
 
 impl Tree {
     /// True where relays stand between the leader and most instances.
--- a/crates/rudder-core/src/watchers.rs
+++ b/crates/rudder-core/src/watchers.rs
@@ -12,12 +12,12 @@
 
 use crate::{
     Effect, Group, Listing, PeerMessage, Registry, Watch, Watched,
+    delta_map::Version,
     limits::{LimitReport, Limits, Told},
     loads::{self, Loads},
     past::Past,
     peer::{DocumentNews, Load},
     registry::RegistryNews,
-    spread::Version,
     subset::Scope,
     tree::Directory,
 };
--- a/crates/rudder-core/tests/spread.rs
+++ b/crates/rudder-core/tests/delta_map.rs
@@ -4,9 +4,9 @@
 
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg32;
-use rudder_core::spread::{News, Spread};
+use rudder_core::delta_map::{DeltaMap, News};
 
-type Entries = Spread<u32, u32>;
+type Entries = DeltaMap<u32, u32>;
 
 /// Values above this are told to nobody.
 const KEPT_BACK: u32 = 90;
