--- a/crates/rudder-core/src/delta_map.rs
+++ b/crates/rudder-core/src/delta_map.rs
@@ -29,7 +29,7 @@
 
 /// What a holder of an older version lacks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News<K, V> {
+pub struct MapDelta<K, V> {
     /// The version that this leads to.
     pub version: Version,
     /// All there is, not only what changed.
@@ -42,9 +42,9 @@
     pub lineage: Vec<Version>,
 }
 
-impl<K, V> News<K, V> {
+impl<K, V> MapDelta<K, V> {
     /// True where it says more than that nothing has changed up to its version.
-    pub fn tells(&self) -> bool {
+    pub fn has_changes(&self) -> bool {
         self.whole || !self.entries.is_empty() || !self.removed.is_empty()
     }
 }
@@ -230,7 +230,7 @@
     }
 
     /// What the holder of `held` lacks; `None` where that is nothing, or where it holds something newer.
-    pub fn news_after(&self, held: Version) -> Option<News<K, V>> {
+    pub fn news_after(&self, held: Version) -> Option<MapDelta<K, V>> {
         self.news_of(held, usize::MAX, false, |_| Some(0))
     }
 
@@ -243,7 +243,7 @@
         most: usize,
         anew: bool,
         told_since: impl Fn(&V) -> Option<Version>,
-    ) -> Option<News<K, V>> {
+    ) -> Option<MapDelta<K, V>> {
         if held >= self.version {
             return None;
         }
@@ -261,7 +261,7 @@
         entries.reverse();
         let version = if whole { self.version } else { truncate(&mut entries, most).unwrap_or(self.version) };
         let removed = self.removed.iter().filter(|(_, at)| !whole && held > 0 && **at > held && **at <= version);
-        Some(News {
+        Some(MapDelta {
             version,
             whole,
             entries,
@@ -286,7 +286,12 @@
 
     /// Applies news, unless they are older than what is held. `accepts` tells of a held and a told value whether the
     /// told one replaces it; `keeps` tells which entries stay that the news no longer name.
-    pub fn take(&mut self, news: News<K, V>, accepts: impl Fn(&V, &V) -> bool, keeps: impl Fn(&K, &V) -> bool) -> bool {
+    pub fn take(
+        &mut self,
+        news: MapDelta<K, V>,
+        accepts: impl Fn(&V, &V) -> bool,
+        keeps: impl Fn(&K, &V) -> bool,
+    ) -> bool {
         if news.version <= self.version {
             return false;
         }
--- a/crates/rudder-core/src/peer.rs
+++ b/crates/rudder-core/src/peer.rs
@@ -9,10 +9,10 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    delta_map::{News, Version},
+    delta_map::{MapDelta, Version},
     limits::LimitReport,
     permits::{PermitAnswer, PermitRequest},
-    registry::{Registration, RegistryNews},
+    registry::{Registration, RegistryDelta},
     subset::Scope,
     tally::{UsageNews, UsageTaken},
 };
@@ -106,7 +106,7 @@
     /// The configuration document, where it is a newer one and not on its way already.
     pub document: Option<DocumentNews>,
     /// What the asker lacks of the registry.
-    pub registry: Option<RegistryNews>,
+    pub registry: Option<RegistryDelta>,
     /// Some of what the asker lacks of the registry is not in this answer: it is on its way, or comes with the next. An asker
     /// that may lack the leave of an endpoint has no proof.
     pub pending: bool,
@@ -159,7 +159,7 @@
 }
 
 /// What an instance lacks of the directory of live instances.
-pub type DirectoryNews = News<InstanceId, Listing>;
+pub type DirectoryNews = MapDelta<InstanceId, Listing>;
 
 /// Work under way at one endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/rudder-core/src/registry/mod.rs
+++ b/crates/rudder-core/src/registry/mod.rs
@@ -13,7 +13,7 @@
 
 use crate::{
     Options,
-    delta_map::{DeltaMap, News, Version},
+    delta_map::{DeltaMap, MapDelta, Version},
     lives::{Lives, Standing},
     subset::{Scope, Subsets},
 };
@@ -105,7 +105,7 @@
 }
 
 /// What an instance lacks of the leader's registry.
-pub type RegistryNews = News<EndpointId, Arc<Registration>>;
+pub type RegistryDelta = MapDelta<EndpointId, Arc<Registration>>;
 
 /// All endpoints heard of.
 #[derive(Clone, Debug)]
@@ -323,7 +323,7 @@
 
     /// Records what the leader spread. An endpoint's own later word, heard here, stays. Returns whether any endpoint
     /// takes no more work now that did before.
-    pub fn take_news(&mut self, now: Duration, news: RegistryNews) -> bool {
+    pub fn take_news(&mut self, now: Duration, news: RegistryDelta) -> bool {
         let leaves = |told: &Arc<Registration>| {
             let before = self.entries.get(&told.endpoint).map(|held| held.phase);
             told.phase >= Phase::Leaving && before.is_none_or(|before| before < Phase::Leaving)
--- a/crates/rudder-core/src/registry/scope.rs
+++ b/crates/rudder-core/src/registry/scope.rs
@@ -5,7 +5,7 @@
 
 use rudder_model::HallId;
 
-use super::{Registration, Registry, RegistryNews};
+use super::{Registration, Registry, RegistryDelta};
 use crate::{delta_map::Version, subset::Scope};
 
 /// Endpoints told in one answer: some 400 KB, which a link of 10 Mbit/s carries in a third of a second.
@@ -70,7 +70,7 @@
     }
 
     /// What the holder of `version` in `hall` lacks of what `scope` tells it, or of everything; `None` where that is nothing.
-    pub fn news_after(&self, version: Version, hall: &HallId, scope: Option<&Scope>) -> Option<RegistryNews> {
+    pub fn news_after(&self, version: Version, hall: &HallId, scope: Option<&Scope>) -> Option<RegistryDelta> {
         let anew = scope.is_some_and(|scope| scope.widened.iter().any(|widened| widened.version > version));
         self.entries.news_of(version, PAGE, anew, |held| match scope {
             Some(scope) if !scope.tells(hall, held) => None,
--- a/crates/rudder-core/src/view.rs
+++ b/crates/rudder-core/src/view.rs
@@ -412,7 +412,7 @@
         }
         if let Some(news) = watched.registry {
             // Most versions of a large registry are about endpoints that are not told here.
-            self.edition += u64::from(news.tells());
+            self.edition += u64::from(news.has_changes());
             urgent |= self.registry.take_news(now, news);
         }
         self.take_scope((me, options), watched.scope, out);
--- a/crates/rudder-core/src/watchers.rs
+++ b/crates/rudder-core/src/watchers.rs
@@ -17,7 +17,7 @@
     loads::{self, Loads},
     past::Past,
     peer::{DocumentNews, Load},
-    registry::RegistryNews,
+    registry::RegistryDelta,
     subset::Scope,
     tree::Directory,
 };
@@ -131,10 +131,10 @@
         let registry = source.registry.news_after(watch.registry, &watch.listing.hall, told);
         let pending = registry
             .as_ref()
-            .is_some_and(|news| news.tells() && !registry_due || news.version < source.registry.version());
-        let registry = registry.filter(|news| registry_due || !news.tells());
+            .is_some_and(|news| news.has_changes() && !registry_due || news.version < source.registry.version());
+        let registry = registry.filter(|news| registry_due || !news.has_changes());
         let directory = source.directory.news_after(watch.directory).filter(|_| directory_due);
-        let tells = registry.as_ref().is_some_and(RegistryNews::tells);
+        let tells = registry.as_ref().is_some_and(RegistryDelta::has_changes);
         self.note_sent(now, &watch, directory.is_some(), tells);
         let deltas = source.config.deltas_after(watch.index, DELTAS);
         let complete = deltas.len() < DELTAS;
--- a/crates/rudder-core/tests/delta_map.rs
+++ b/crates/rudder-core/tests/delta_map.rs
@@ -4,7 +4,7 @@
 
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg32;
-use rudder_core::delta_map::{DeltaMap, News};
+use rudder_core::delta_map::{DeltaMap, MapDelta};
 
 type Entries = DeltaMap<u32, u32>;
 
@@ -83,7 +83,7 @@
     }
     let mut copy = Entries::default();
     let take = |leader: &Entries, copy: &mut Entries| {
-        let news: Option<News<u32, u32>> = leader.news_of(copy.version(), 100, false, tells);
+        let news: Option<MapDelta<u32, u32>> = leader.news_of(copy.version(), 100, false, tells);
         if let Some(news) = news {
             copy.take(news, |_, _| true, |_, _| false);
         }
