--- a/crates/rudder-core/src/delta_map.rs
+++ b/crates/rudder-core/src/delta_map.rs
@@ -18,7 +18,7 @@
 
 /// An entry as it is told.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told<K, V> {
+pub struct VersionedEntry<K, V> {
     /// Its key.
     pub key: K,
     /// Its value.
@@ -35,7 +35,7 @@
     /// All there is, not only what changed.
     pub whole: bool,
     /// Entries that are new or have changed.
-    pub entries: Vec<Told<K, V>>,
+    pub entries: Vec<VersionedEntry<K, V>>,
     /// Keys that were removed, each with the version of its removal.
     pub removed: Vec<(K, Version)>,
     /// The last version of each earlier leader that the leaders after it went on from, oldest first.
@@ -252,12 +252,12 @@
         let to_told = |(at, key): &(Version, K)| {
             let value = &self.items.get(key)?.value;
             let changed = told_since(value)?.max(*at);
-            (whole || changed > held).then(|| Told { key: key.clone(), value: value.clone(), changed })
+            (whole || changed > held).then(|| VersionedEntry { key: key.clone(), value: value.clone(), changed })
         };
         let all = whole || anew;
         let first = if all { 0 } else { held };
         let known = self.by_change.iter().rev().take_while(|(changed, _)| *changed > first);
-        let mut entries: Vec<Told<K, V>> = known.filter_map(to_told).collect();
+        let mut entries: Vec<VersionedEntry<K, V>> = known.filter_map(to_told).collect();
         entries.reverse();
         let version = if whole { self.version } else { truncate(&mut entries, most).unwrap_or(self.version) };
         let removed = self.removed.iter().filter(|(_, at)| !whole && held > 0 && **at > held && **at <= version);
@@ -327,8 +327,8 @@
         true
     }
 
-    fn take_entry(&mut self, told: Told<K, V>, accepts: &impl Fn(&V, &V) -> bool) {
-        let Told { key, value, changed } = told;
+    fn take_entry(&mut self, told: VersionedEntry<K, V>, accepts: &impl Fn(&V, &V) -> bool) {
+        let VersionedEntry { key, value, changed } = told;
         self.removed.remove(&key);
         match self.items.get(&key) {
             Some(held) if !accepts(&held.value, &value) => self.mark(&key, changed, true),
@@ -339,7 +339,7 @@
 
 /// Leaves the `most` entries that changed first, and those that changed with the last of them. Returns the version up to which
 /// they go, where any are left out.
-fn truncate<K, V>(entries: &mut Vec<Told<K, V>>, most: usize) -> Option<Version> {
+fn truncate<K, V>(entries: &mut Vec<VersionedEntry<K, V>>, most: usize) -> Option<Version> {
     if entries.len() <= most {
         return None;
     }
