--- a/crates/rudder-core/src/control.rs
+++ b/crates/rudder-core/src/control.rs
@@ -309,7 +309,7 @@
         if leads {
             // A new leader starts from the directory it last saw, so that none is taken off for its sake.
             self.directory = view.directory.clone();
-            self.directory.lead(self.replica.term());
+            self.directory.begin_term(self.replica.term());
             let relayed = options.tree.has_relays(&self.directory);
             let heard = if relayed { now + LEAD_GRACE } else { now };
             self.live = self.directory.keys().map(|name| (name.clone(), heard)).collect();
--- a/crates/rudder-core/src/delta_map.rs
+++ b/crates/rudder-core/src/delta_map.rs
@@ -121,7 +121,7 @@
     }
 
     /// Begins the versions of a leader of `term`. What was learned here alone is told to all from now on.
-    pub fn lead(&mut self, term: u64) {
+    pub fn begin_term(&mut self, term: u64) {
         if self.version != 0 {
             self.lineage.push_back(self.version);
         }
@@ -183,7 +183,7 @@
     }
 
     /// The leader's change of a value that nobody else needs to know of; there is no new version of it.
-    pub fn touch(&mut self, key: &K, value: V) {
+    pub fn set_unversioned(&mut self, key: &K, value: V) {
         if let Some(item) = self.items.get_mut(key) {
             item.value = value;
         }
@@ -220,24 +220,24 @@
     }
 
     /// Drops entries here that no leader has told, and those that `kept` does not name.
-    pub fn retain_told(&mut self, kept: impl Fn(&V) -> bool) {
+    pub fn retain_replicated(&mut self, kept: impl Fn(&V) -> bool) {
         self.retain(|_, item| item.changed > 0 && kept(&item.value));
     }
 
     /// Takes the entries held for none of what the leader holds, so that all is told again.
-    pub fn restart(&mut self) {
+    pub fn reset_version(&mut self) {
         self.version = 0;
     }
 
     /// What the holder of `held` lacks; `None` where that is nothing, or where it holds something newer.
-    pub fn news_after(&self, held: Version) -> Option<MapDelta<K, V>> {
-        self.news_of(held, usize::MAX, false, |_| Some(0))
+    pub fn delta_since(&self, held: Version) -> Option<MapDelta<K, V>> {
+        self.delta_for(held, usize::MAX, false, |_| Some(0))
     }
 
     /// What the holder of `held` lacks of the entries that it is told of, the oldest `most` of it. `told_since` says of a value
     /// since which version it is told of it, if at all; `anew` is true where it may be told since after `held` of what has not
     /// changed since.
-    pub fn news_of(
+    pub fn delta_for(
         &self,
         held: Version,
         most: usize,
@@ -286,7 +286,7 @@
 
     /// Applies news, unless they are older than what is held. `accepts` tells of a held and a told value whether the
     /// told one replaces it; `keeps` tells which entries stay that the news no longer name.
-    pub fn take(
+    pub fn apply(
         &mut self,
         news: MapDelta<K, V>,
         accepts: impl Fn(&V, &V) -> bool,
--- a/crates/rudder-core/src/registry/mod.rs
+++ b/crates/rudder-core/src/registry/mod.rs
@@ -223,7 +223,7 @@
         let endpoint = next.endpoint.clone();
         if change == Change::None {
             // A sequence number alone is not told to all.
-            self.entries.touch(&endpoint, next);
+            self.entries.set_unversioned(&endpoint, next);
         } else {
             put(&mut self.entries, endpoint, next);
         }
@@ -287,7 +287,7 @@
 
     /// Starts a leader's version numbers for `term` and counts every endpoint as just heard of.
     pub fn lead(&mut self, now: Duration, term: u64) {
-        self.entries.lead(term);
+        self.entries.begin_term(term);
         self.heard = self.entries.keys().map(|endpoint| (endpoint.clone(), now)).collect();
         let live = self.entries.values().filter(|held| held.phase < Phase::Gone);
         self.addresses = live.map(|held| (held.address.clone(), held.endpoint.clone())).collect();
@@ -335,7 +335,7 @@
         let removes = news.whole || !news.removed.is_empty();
         let (heard, silence) = (&self.heard, self.silence);
         let recent = |endpoint: &EndpointId| heard.get(endpoint).is_some_and(|heard| now < *heard + silence);
-        let taken = self.entries.take(news, is_later, |endpoint, _| recent(endpoint));
+        let taken = self.entries.apply(news, is_later, |endpoint, _| recent(endpoint));
         if taken {
             self.heard.extend(told.iter().map(|endpoint| (endpoint.clone(), now)));
             self.addresses.extend(live);
--- a/crates/rudder-core/src/registry/scope.rs
+++ b/crates/rudder-core/src/registry/scope.rs
@@ -43,11 +43,11 @@
         if self.whole {
             if first {
                 // A relay may have answered so far, which knows no more than its hall is told.
-                self.entries.restart();
+                self.entries.reset_version();
             }
             return;
         }
-        self.entries.retain_told(|held| scope.tells(hall, held));
+        self.entries.retain_replicated(|held| scope.tells(hall, held));
         self.heard.retain(|endpoint, _| self.entries.get(endpoint).is_some());
         self.forget_unknown();
     }
@@ -72,7 +72,7 @@
     /// What the holder of `version` in `hall` lacks of what `scope` tells it, or of everything; `None` where that is nothing.
     pub fn news_after(&self, version: Version, hall: &HallId, scope: Option<&Scope>) -> Option<RegistryDelta> {
         let anew = scope.is_some_and(|scope| scope.widened.iter().any(|widened| widened.version > version));
-        self.entries.news_of(version, PAGE, anew, |held| match scope {
+        self.entries.delta_for(version, PAGE, anew, |held| match scope {
             Some(scope) if !scope.tells(hall, held) => None,
             scope => Some(scope.map_or(0, |scope| scope.told_since(hall, held))),
         })
--- a/crates/rudder-core/src/view.rs
+++ b/crates/rudder-core/src/view.rs
@@ -518,7 +518,7 @@
     fn take_directory(&mut self, (me, options): (&Me, &Options), news: DirectoryNews, out: &mut Vec<Effect>) -> bool {
         let before: BTreeSet<InstanceId> = self.directory.keys().cloned().collect();
         let touched = news.whole || !news.entries.is_empty() || !news.removed.is_empty();
-        if !self.directory.take(news, |_, _| true, |_, _| false) || !touched {
+        if !self.directory.apply(news, |_, _| true, |_, _| false) || !touched {
             return false;
         }
         let now: BTreeSet<InstanceId> = self.directory.keys().cloned().collect();
--- a/crates/rudder-core/src/watchers.rs
+++ b/crates/rudder-core/src/watchers.rs
@@ -133,7 +133,7 @@
             .as_ref()
             .is_some_and(|news| news.has_changes() && !registry_due || news.version < source.registry.version());
         let registry = registry.filter(|news| registry_due || !news.has_changes());
-        let directory = source.directory.news_after(watch.directory).filter(|_| directory_due);
+        let directory = source.directory.delta_since(watch.directory).filter(|_| directory_due);
         let tells = registry.as_ref().is_some_and(RegistryDelta::has_changes);
         self.note_sent(now, &watch, directory.is_some(), tells);
         let deltas = source.config.deltas_after(watch.index, DELTAS);
--- a/crates/rudder-core/tests/delta_map.rs
+++ b/crates/rudder-core/tests/delta_map.rs
@@ -16,9 +16,9 @@
 }
 
 fn ask(leader: &Entries, copy: &mut Entries, most: usize) {
-    let news = leader.news_of(copy.version(), most, false, |_| Some(0));
+    let news = leader.delta_for(copy.version(), most, false, |_| Some(0));
     if let Some(news) = news {
-        copy.take(news, |_, _| true, |_, _| false);
+        copy.apply(news, |_, _| true, |_, _| false);
     }
 }
 
@@ -44,7 +44,7 @@
             for seed in 0..200 {
                 let mut rng = Pcg32::seed_from_u64(seed);
                 let mut leader = Entries::default();
-                leader.lead(1);
+                leader.begin_term(1);
                 let mut copies = vec![Entries::default(); 4];
                 for step in 0..300 {
                     change(&mut rng, &mut leader);
@@ -55,7 +55,7 @@
                         let number = rng.random_range(0..copies.len());
                         catch_up(&leader, &mut copies[number], $most);
                         leader = copies[number].clone();
-                        leader.lead(2 + step);
+                        leader.begin_term(2 + step);
                     }
                 }
                 for copy in &mut copies {
@@ -77,15 +77,15 @@
 fn what_was_kept_back_is_told_once_it_has_changed() {
     let tells = |value: &u32| (*value <= KEPT_BACK).then_some(0);
     let mut leader = Entries::default();
-    leader.lead(1);
+    leader.begin_term(1);
     for key in 0..10 {
         leader.set(key, 95);
     }
     let mut copy = Entries::default();
     let take = |leader: &Entries, copy: &mut Entries| {
-        let news: Option<MapDelta<u32, u32>> = leader.news_of(copy.version(), 100, false, tells);
+        let news: Option<MapDelta<u32, u32>> = leader.delta_for(copy.version(), 100, false, tells);
         if let Some(news) = news {
-            copy.take(news, |_, _| true, |_, _| false);
+            copy.apply(news, |_, _| true, |_, _| false);
         }
     };
     take(&leader, &mut copy);
@@ -99,13 +99,13 @@
 #[test]
 fn what_is_told_since_a_version_is_told_anew() {
     let mut leader = Entries::default();
-    leader.lead(1);
+    leader.begin_term(1);
     leader.set(1, 10);
     leader.set(2, 20);
     let before = leader.version();
     let since = leader.advance();
     let lacked = |anew: bool| {
-        let news = leader.news_of(before, 100, anew, |value| (*value == 20).then_some(since));
+        let news = leader.delta_for(before, 100, anew, |value| (*value == 20).then_some(since));
         news.map(|news| news.entries.iter().map(|told| told.key).collect::<Vec<_>>())
     };
     assert_eq!((lacked(false), lacked(true)), (Some(vec![]), Some(vec![2])));
