--- a/crates/rudder-core/src/control.rs
+++ b/crates/rudder-core/src/control.rs
@@ -237,7 +237,7 @@
     fn hear(&mut self, now: Duration, from: &InstanceId, heard: &[Registration], out: &mut Vec<Effect>) {
         let mut left = false;
         for registration in heard {
-            left |= self.registry.hear_as_leader(now, registration) == Change::Leave;
+            left |= self.registry.record_heartbeat_as_leader(now, registration) == Change::Leave;
         }
         if left {
             self.watchers.notify(now, Some(from), out);
--- a/crates/rudder-core/src/registry/mod.rs
+++ b/crates/rudder-core/src/registry/mod.rs
@@ -177,7 +177,7 @@
     }
 
     /// Records what an endpoint said, at an instance that does not lead.
-    pub fn hear(&mut self, now: Duration, registration: &Registration) -> Change {
+    pub fn record_heartbeat(&mut self, now: Duration, registration: &Registration) -> Change {
         let told = self.whole || self.scope.is_none() || self.entries.get(&registration.endpoint).is_some();
         if !told {
             // Were it used here, this instance would not be told when it leaves.
@@ -187,7 +187,7 @@
     }
 
     /// Records what an endpoint said, at the leader.
-    pub fn hear_as_leader(&mut self, now: Duration, registration: &Registration) -> Change {
+    pub fn record_heartbeat_as_leader(&mut self, now: Duration, registration: &Registration) -> Change {
         self.take_in(now, registration, true, DeltaMap::set)
     }
 
--- a/crates/rudder-core/src/view.rs
+++ b/crates/rudder-core/src/view.rs
@@ -160,7 +160,7 @@
 
     /// Records an endpoint's heartbeat heard here or by an instance that asks here.
     pub(crate) fn hear(&mut self, now: Duration, registration: Registration) {
-        let change = self.registry.hear(now, &registration);
+        let change = self.registry.record_heartbeat(now, &registration);
         if change != Change::None {
             self.edition += 1;
             self.asking.ask_soon();
--- a/crates/rudder-core/tests/subset.rs
+++ b/crates/rudder-core/tests/subset.rs
@@ -201,7 +201,7 @@
 #[test]
 fn an_endpoint_that_speaks_seldom_is_not_taken_for_silent() {
     let mut registry = Registry::new(SECOND * 12);
-    registry.hear_as_leader(SECOND, &endpoint(1, Phase::Ready, 1));
+    registry.record_heartbeat_as_leader(SECOND, &endpoint(1, Phase::Ready, 1));
     let phase_at = |registry: &mut Registry, at: Duration| {
         registry.age(at);
         registry.iter().next().map(|held| held.phase)
--- a/crates/rudder-gateway/benches/publish.rs
+++ b/crates/rudder-gateway/benches/publish.rs
@@ -21,7 +21,7 @@
     for number in 0..endpoints {
         let name = format!("i-{number:08x}+1792914332612").into();
         let registration = Registration { endpoint: name, born: Some(1_792_914_332_612), ..endpoint(number, "hall-0") };
-        registry.hear(Duration::ZERO, &registration);
+        registry.record_heartbeat(Duration::ZERO, &registration);
     }
     registry
 }
@@ -45,6 +45,9 @@
     registry.lead(Duration::ZERO, 1);
     let (held, hall) = (registry.version(), "hall-0".into());
     let first = registry.iter().next().expect("some are there").clone();
-    registry.hear_as_leader(Duration::ZERO, &Registration { sequence: 2, slots: 65, ..Registration::clone(&first) });
+    registry.record_heartbeat_as_leader(
+        Duration::ZERO,
+        &Registration { sequence: 2, slots: 65, ..Registration::clone(&first) },
+    );
     bencher.bench_local(|| black_box(registry.news_after(held, &hall, None)));
 }
