--- a/crates/rudder-core/src/control.rs
+++ b/crates/rudder-core/src/control.rs
@@ -314,7 +314,7 @@
             let heard = if relayed { now + LEAD_GRACE } else { now };
             self.live = self.directory.keys().map(|name| (name.clone(), heard)).collect();
             self.registry = view.registry.clone();
-            self.registry.lead(now, self.replica.term());
+            self.registry.begin_term(now, self.replica.term());
             self.watchers.clear();
         }
     }
@@ -335,9 +335,9 @@
     fn prune(&mut self, now: Duration, options: &Options) {
         if self.looked.is_none_or(|looked| now >= looked + LOOK) {
             self.looked = Some(now);
-            self.registry.age(now);
+            self.registry.expire(now);
             let watchers = &self.watchers;
-            self.registry.divide(|held| watchers.calls_at(id::endpoint_tag(&held.endpoint)));
+            self.registry.update_subsets(|held| watchers.calls_at(id::endpoint_tag(&held.endpoint)));
         }
         self.watchers.age(now, options.gone);
         let gone = |seen: Duration| now >= seen + options.gone;
--- a/crates/rudder-core/src/reduce.rs
+++ b/crates/rudder-core/src/reduce.rs
@@ -81,7 +81,7 @@
         let mut view = View::default();
         view.registry = Registry::new(options.silence);
         if control.is_some() {
-            view.registry.set_whole();
+            view.registry.set_unscoped();
         }
         view.set_seeds(options.seats.clone());
         view.clock = Clock::new(me.epoch);
--- a/crates/rudder-core/src/registry/mod.rs
+++ b/crates/rudder-core/src/registry/mod.rs
@@ -286,7 +286,7 @@
     }
 
     /// Starts a leader's version numbers for `term` and counts every endpoint as just heard of.
-    pub fn lead(&mut self, now: Duration, term: u64) {
+    pub fn begin_term(&mut self, now: Duration, term: u64) {
         self.entries.begin_term(term);
         self.heard = self.entries.keys().map(|endpoint| (endpoint.clone(), now)).collect();
         let live = self.entries.values().filter(|held| held.phase < Phase::Gone);
@@ -297,7 +297,7 @@
     }
 
     /// Ages the leader's entries: the unheard become silent, then are dropped.
-    pub fn age(&mut self, now: Duration) {
+    pub fn expire(&mut self, now: Duration) {
         let unheard = |endpoint: &EndpointId| now.saturating_sub(self.heard.get(endpoint).copied().unwrap_or_default());
         let mut dropped = Vec::new();
         let mut silent = Vec::new();
@@ -323,7 +323,7 @@
 
     /// Records what the leader spread. An endpoint's own later word, heard here, stays. Returns whether any endpoint
     /// takes no more work now that did before.
-    pub fn take_news(&mut self, now: Duration, news: RegistryDelta) -> bool {
+    pub fn apply_delta(&mut self, now: Duration, news: RegistryDelta) -> bool {
         let leaves = |told: &Arc<Registration>| {
             let before = self.entries.get(&told.endpoint).map(|held| held.phase);
             told.phase >= Phase::Leaving && before.is_none_or(|before| before < Phase::Leaving)
--- a/crates/rudder-core/src/registry/scope.rs
+++ b/crates/rudder-core/src/registry/scope.rs
@@ -17,7 +17,7 @@
     }
 
     /// Sets that all endpoints are told here, whatever the scope.
-    pub fn set_whole(&mut self) {
+    pub fn set_unscoped(&mut self) {
         self.whole = true;
     }
 
@@ -58,7 +58,7 @@
     }
 
     /// Decides anew which endpoints are told to whom, at the leader; `calls` tells the requests under way at one.
-    pub fn divide(&mut self, calls: impl Fn(&Registration) -> u32) {
+    pub fn update_subsets(&mut self, calls: impl Fn(&Registration) -> u32) {
         let called = self.subsets.recount(self.entries.values(), calls);
         for endpoint in called {
             let Some(held) = self.entries.get(&endpoint) else { continue };
@@ -70,7 +70,7 @@
     }
 
     /// What the holder of `version` in `hall` lacks of what `scope` tells it, or of everything; `None` where that is nothing.
-    pub fn news_after(&self, version: Version, hall: &HallId, scope: Option<&Scope>) -> Option<RegistryDelta> {
+    pub fn delta_since(&self, version: Version, hall: &HallId, scope: Option<&Scope>) -> Option<RegistryDelta> {
         let anew = scope.is_some_and(|scope| scope.widened.iter().any(|widened| widened.version > version));
         self.entries.delta_for(version, PAGE, anew, |held| match scope {
             Some(scope) if !scope.tells(hall, held) => None,
--- a/crates/rudder-core/src/view.rs
+++ b/crates/rudder-core/src/view.rs
@@ -413,7 +413,7 @@
         if let Some(news) = watched.registry {
             // Most versions of a large registry are about endpoints that are not told here.
             self.edition += u64::from(news.has_changes());
-            urgent |= self.registry.take_news(now, news);
+            urgent |= self.registry.apply_delta(now, news);
         }
         self.take_scope((me, options), watched.scope, out);
         if let Some(loads) = watched.loads.filter(|_| sent.target != Target::PastRelay) {
--- a/crates/rudder-core/src/watchers.rs
+++ b/crates/rudder-core/src/watchers.rs
@@ -128,7 +128,7 @@
         let limits = if told { self.limit_news(now, &name, &source) } else { Vec::new() };
         let told = source.scope.as_ref().filter(|_| !source.whole);
         let (directory_due, registry_due) = self.are_due(now, &watch);
-        let registry = source.registry.news_after(watch.registry, &watch.listing.hall, told);
+        let registry = source.registry.delta_since(watch.registry, &watch.listing.hall, told);
         let pending = registry
             .as_ref()
             .is_some_and(|news| news.has_changes() && !registry_due || news.version < source.registry.version());
--- a/crates/rudder-core/tests/subset.rs
+++ b/crates/rudder-core/tests/subset.rs
@@ -203,7 +203,7 @@
     let mut registry = Registry::new(SECOND * 12);
     registry.record_heartbeat_as_leader(SECOND, &endpoint(1, Phase::Ready, 1));
     let phase_at = |registry: &mut Registry, at: Duration| {
-        registry.age(at);
+        registry.expire(at);
         registry.iter().next().map(|held| held.phase)
     };
     assert_eq!(phase_at(&mut registry, SECOND * 12), Some(Phase::Ready));
--- a/crates/rudder-gateway/benches/publish.rs
+++ b/crates/rudder-gateway/benches/publish.rs
@@ -42,12 +42,12 @@
 #[divan::bench(args = [200, 3_000, 12_000])]
 fn answer(bencher: Bencher, endpoints: usize) {
     let mut registry = registry(endpoints);
-    registry.lead(Duration::ZERO, 1);
+    registry.begin_term(Duration::ZERO, 1);
     let (held, hall) = (registry.version(), "hall-0".into());
     let first = registry.iter().next().expect("some are there").clone();
     registry.record_heartbeat_as_leader(
         Duration::ZERO,
         &Registration { sequence: 2, slots: 65, ..Registration::clone(&first) },
     );
-    bencher.bench_local(|| black_box(registry.news_after(held, &hall, None)));
+    bencher.bench_local(|| black_box(registry.delta_since(held, &hall, None)));
 }
