--- a/crates/rudder-core/src/past.rs
+++ b/crates/rudder-core/src/document_history.rs
@@ -15,15 +15,15 @@
 
 /// The newest versions, oldest first.
 #[derive(Debug, Default)]
-pub struct Past {
+pub struct DocumentHistory {
     documents: VecDeque<Document>,
     /// The patch that was asked for last: many ask for the same one after the other.
     patch: Option<(Patch, usize)>,
 }
 
-impl Past {
+impl DocumentHistory {
     /// Records which document is the newest.
-    pub fn note(&mut self, newest: &Document) {
+    pub fn record(&mut self, newest: &Document) {
         if self.documents.back().is_some_and(|last| last.version >= newest.version) {
             return;
         }
--- a/crates/rudder-core/src/watchers.rs
+++ b/crates/rudder-core/src/watchers.rs
@@ -13,9 +13,9 @@
 use crate::{
     Effect, Group, Listing, PeerMessage, Registry, Watch, Watched,
     delta_map::Version,
+    document_history::DocumentHistory,
     limits::{LimitReport, Limits, Told},
     loads::{self, Loads},
-    past::Past,
     peer::{DocumentNews, Load},
     registry::RegistryDelta,
     subset::Scope,
@@ -70,7 +70,7 @@
     /// Changes with the members or with what they are.
     version: u64,
     /// Documents that askers may still hold.
-    past: Past,
+    past: DocumentHistory,
     notified: Option<Duration>,
     /// News has come since the last notice.
     news: bool,
@@ -237,7 +237,7 @@
         held: u64,
         newest: Option<&Document>,
     ) -> Option<DocumentNews> {
-        self.past.note(newest?);
+        self.past.record(newest?);
         let newest = newest.filter(|newest| newest.version > held)?;
         if let Some(watcher) = self.asking.get_mut(name) {
             if watcher.document == newest.version && now < watcher.document_at + RESEND {
