--- a/crates/rudder-core/src/calls/mod.rs
+++ b/crates/rudder-core/src/calls/mod.rs
@@ -19,7 +19,7 @@
 use crate::{
     Arrival, Effect, Me, Options, PeerMessage, Verdict, keyed,
     peer::ToPool,
-    propose::{For, Proposals},
+    propose::{Proposals, Purpose},
     reach::{self, PoolId},
     view::View,
 };
@@ -167,17 +167,17 @@
     pub(crate) fn on_answer(
         &mut self,
         context: &mut Context,
-        purpose: &For,
+        purpose: &Purpose,
         standing: Option<rudder_ledger::Standing>,
     ) {
         match purpose {
-            For::Claim(request) => keyed::on_claimed(self, context, *request, standing),
-            For::Finish(request) => {
+            Purpose::Claim(request) => keyed::on_claimed(self, context, *request, standing),
+            Purpose::Finish(request) => {
                 if self.open.remove(request).is_some() {
                     context.verdict(*request, Verdict::Release);
                 }
             }
-            For::Admin(_) | For::Document(_) | For::Evacuation(_) | For::Record => {}
+            Purpose::Admin(_) | Purpose::Document(_) | Purpose::Evacuation(_) | Purpose::Record => {}
         }
     }
 }
--- a/crates/rudder-core/src/keyed.rs
+++ b/crates/rudder-core/src/keyed.rs
@@ -13,7 +13,7 @@
 use crate::{
     Effect, PeerMessage, Stored, Verdict,
     calls::{Calls, Context, Phase},
-    propose::For,
+    propose::Purpose,
 };
 
 /// A claim not committed within this time is given up.
@@ -37,7 +37,7 @@
     call.phase = Phase::Claiming { next: Duration::MAX };
     let claim = Claim { key: to_key(&call.org, &key.name), digest: key.digest, attempt };
     let deadline = (context.now + CLAIM_TIMEOUT).min(call.until.max(context.now + FOLLOW));
-    context.proposals.start(For::Claim(request), Command::Claim(claim), deadline);
+    context.proposals.start(Purpose::Claim(request), Command::Claim(claim), deadline);
 }
 
 /// Records how the key stands after the claim; `None` when no answer came in time.
@@ -94,10 +94,10 @@
 pub(crate) fn on_attempt(calls: &Calls, context: &mut Context, key: String, attempt: Attempt) {
     let ours = attempt.owner == context.me.name && attempt.start == context.me.start;
     let lives = calls.open.values().any(|call| call.attempt.as_ref() == Some(&attempt));
-    let recorded = context.proposals.names(&key, &attempt);
+    let recorded = context.proposals.has_pending(&key, &attempt);
     if ours && !lives && !recorded {
         let deadline = context.now + RECORD_TIMEOUT;
-        context.proposals.start(For::Record, Command::Release { key, attempt }, deadline);
+        context.proposals.start(Purpose::Record, Command::Release { key, attempt }, deadline);
     }
 }
 
@@ -137,7 +137,7 @@
         Ran::No => Command::Release { key, attempt },
         Ran::Unknown | Ran::Yes => Command::Finish { key, attempt, outcome: Outcome::Unknown },
     };
-    context.proposals.start(For::Record, command, context.now + RECORD_TIMEOUT);
+    context.proposals.start(Purpose::Record, command, context.now + RECORD_TIMEOUT);
 }
 
 /// Records the answer; the caller gets it once the record is committed, or after a short while.
@@ -148,9 +148,9 @@
     let body = (stored.body.len() <= KEPT).then(|| ByteBuf::from(stored.body));
     let outcome = Outcome::Done { status: stored.status, content: stored.content, body };
     let command = Command::Finish { key: to_key(&call.org, &key.name), attempt, outcome };
-    context.proposals.start(For::Finish(request), command.clone(), context.now + FINISH_TIMEOUT);
+    context.proposals.start(Purpose::Finish(request), command.clone(), context.now + FINISH_TIMEOUT);
     // The caller is not kept waiting for long, but the record is tried on.
-    context.proposals.start(For::Record, command, context.now + RECORD_TIMEOUT);
+    context.proposals.start(Purpose::Record, command, context.now + RECORD_TIMEOUT);
 }
 
 /// Keys of different organisations never meet.
--- a/crates/rudder-core/src/propose.rs
+++ b/crates/rudder-core/src/propose.rs
@@ -15,7 +15,7 @@
 
 /// Whom the answer is for.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum For {
+pub(crate) enum Purpose {
     /// An operator's connection.
     Admin(u64),
     /// An operator's connection that sent a document.
@@ -32,7 +32,7 @@
 
 #[derive(Clone, Debug)]
 struct Proposal {
-    purpose: For,
+    purpose: Purpose,
     command: Command,
     sent: Option<Duration>,
     deadline: Duration,
@@ -47,7 +47,7 @@
 
 impl Proposals {
     /// Starts a proposal; it is sent at once and again until `deadline`.
-    pub(crate) fn start(&mut self, purpose: For, command: Command, deadline: Duration) {
+    pub(crate) fn start(&mut self, purpose: Purpose, command: Command, deadline: Duration) {
         self.count += 1;
         self.open.insert(self.count, Proposal { purpose, command, sent: None, deadline });
     }
@@ -57,7 +57,7 @@
     }
 
     /// Sends what is new or has waited long. Returns the purposes given up.
-    pub(crate) fn send(&mut self, now: Duration, me: &Me, view: &View, out: &mut Vec<Effect>) -> Vec<For> {
+    pub(crate) fn send(&mut self, now: Duration, me: &Me, view: &View, out: &mut Vec<Effect>) -> Vec<Purpose> {
         let mut ended = Vec::new();
         for (ticket, proposal) in &mut self.open {
             if now >= proposal.deadline {
@@ -76,7 +76,7 @@
     }
 
     /// True when a release or an end of this attempt is on its way.
-    pub(crate) fn names(&self, key: &str, attempt: &Attempt) -> bool {
+    pub(crate) fn has_pending(&self, key: &str, attempt: &Attempt) -> bool {
         self.open.values().any(|proposal| match &proposal.command {
             Command::Release { key: held, attempt: of } | Command::Finish { key: held, attempt: of, .. } => {
                 held == key && of == attempt
@@ -87,7 +87,7 @@
 
     /// Sends all again soon, because the leader is another than thought. Not at once: an instance that
     /// takes itself for the leader would ask itself for ever.
-    pub(crate) fn send_soon(&mut self, now: Duration) {
+    pub(crate) fn retry_soon(&mut self, now: Duration) {
         let early = now.saturating_sub(RETRY.saturating_sub(SOON));
         for proposal in self.open.values_mut() {
             proposal.sent = proposal.sent.map(|sent| sent.min(early));
@@ -95,7 +95,7 @@
     }
 
     /// Handles an answer; `None` for one that came twice or too late.
-    pub(crate) fn end(&mut self, ticket: u64, answer: Answer) -> Option<(For, Answer)> {
+    pub(crate) fn end(&mut self, ticket: u64, answer: Answer) -> Option<(Purpose, Answer)> {
         self.open.remove(&ticket).map(|proposal| (proposal.purpose, answer))
     }
 }
--- a/crates/rudder-core/src/reduce.rs
+++ b/crates/rudder-core/src/reduce.rs
@@ -19,7 +19,7 @@
     orders::Orders,
     peer::FromPool,
     permits::Permits,
-    propose::{For, Proposals},
+    propose::{Proposals, Purpose},
     registry::{Phase, Registration, Registry},
     tally::Tallies,
     view::View,
@@ -170,7 +170,7 @@
             }
             Event::Admin { ticket, change } => {
                 let command = Command::Change(change);
-                self.proposals.start(For::Admin(ticket), command, now + ADMIN_TIMEOUT);
+                self.proposals.start(Purpose::Admin(ticket), command, now + ADMIN_TIMEOUT);
             }
             Event::Polled { endpoint, report } => {
                 self.orders.on_polled(&endpoint, report.as_ref());
@@ -179,7 +179,7 @@
             Event::Ordered { endpoint, taken } => self.orders.on_ordered(&endpoint, taken),
             Event::PutDocument { ticket, document } => {
                 let command = Command::Document(document);
-                self.proposals.start(For::Document(ticket), command, now + DOCUMENT_TIMEOUT);
+                self.proposals.start(Purpose::Document(ticket), command, now + DOCUMENT_TIMEOUT);
             }
             Event::Evacuate { ticket, hall, begins } => {
                 let until = now + DOCUMENT_TIMEOUT;
@@ -253,7 +253,7 @@
             return;
         }
         let findings = std::mem::take(&mut self.findings);
-        self.proposals.start(For::Record, Command::Findings(findings), now + FINDINGS_TIMEOUT);
+        self.proposals.start(Purpose::Record, Command::Findings(findings), now + FINDINGS_TIMEOUT);
     }
 
     /// Asks the leader for news when it is time to.
@@ -304,7 +304,7 @@
         let as_of = self.view.evacuations.index();
         for HallOrder { ticket, hall, begins, until, .. } in self.hall_orders.take_proved(self.view.proved()) {
             let command = Command::Evacuate(Evacuation { hall, begins, as_of });
-            self.proposals.start(For::Evacuation(ticket), command, until);
+            self.proposals.start(Purpose::Evacuation(ticket), command, until);
         }
     }
 
@@ -359,7 +359,7 @@
             PeerMessage::Notify => self.ask_now(now, out),
             PeerMessage::Elsewhere { leader } => {
                 self.view.asking.on_elsewhere(&from, leader);
-                self.proposals.send_soon(now);
+                self.proposals.retry_soon(now);
             }
             PeerMessage::Proposed { ticket, start, answer } => {
                 if start == self.me.start {
@@ -466,11 +466,13 @@
     fn on_proposed(&mut self, now: Duration, ticket: u64, answer: Answer, out: &mut Vec<Effect>) {
         let Some((purpose, answer)) = self.proposals.end(ticket, answer) else { return };
         match (purpose, answer) {
-            (For::Document(ticket), Answer::Documented(version)) => {
+            (Purpose::Document(ticket), Answer::Documented(version)) => {
                 out.push(Effect::Documented { ticket, version: Some(version) });
             }
-            (For::Evacuation(ticket), Answer::Evacuated(_)) => out.push(Effect::Evacuated { ticket, decided: true }),
-            (For::Admin(ticket), Answer::Changed(changed)) => {
+            (Purpose::Evacuation(ticket), Answer::Evacuated(_)) => {
+                out.push(Effect::Evacuated { ticket, decided: true });
+            }
+            (Purpose::Admin(ticket), Answer::Changed(changed)) => {
                 out.push(Effect::Admin { ticket, answer: Some(changed) });
             }
             (purpose, Answer::Claimed(standing)) => {
@@ -484,9 +486,9 @@
         let ended = self.proposals.send(now, &self.me, &self.view, out);
         for purpose in ended {
             match purpose {
-                For::Admin(ticket) => out.push(Effect::Admin { ticket, answer: None }),
-                For::Document(ticket) => out.push(Effect::Documented { ticket, version: None }),
-                For::Evacuation(ticket) => out.push(Effect::Evacuated { ticket, decided: false }),
+                Purpose::Admin(ticket) => out.push(Effect::Admin { ticket, answer: None }),
+                Purpose::Document(ticket) => out.push(Effect::Documented { ticket, version: None }),
+                Purpose::Evacuation(ticket) => out.push(Effect::Evacuated { ticket, decided: false }),
                 purpose => self.with_calls(now, out, |calls, context| calls.on_answer(context, &purpose, None)),
             }
         }
