--- a/crates/rudder-core/src/limits.rs
+++ b/crates/rudder-core/src/limits.rs
@@ -52,7 +52,7 @@
 
 /// What an exchange with one other instance has told of all limits.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Told {
+pub struct PeerSync {
     complete: Option<Duration>,
 }
 
@@ -85,7 +85,7 @@
     }
 
     /// Records what the one whom this instance asks has told.
-    pub fn record_told(&mut self, now: Duration, report: LimitReport) {
+    pub fn record_received(&mut self, now: Duration, report: LimitReport) {
         self.record(now, report, false);
     }
 
@@ -110,16 +110,16 @@
     }
 
     /// What the one whom this instance asks is to be told.
-    pub fn own_news(&self, now: Duration, told: &mut Told) -> Vec<LimitReport> {
+    pub fn own_changes(&self, now: Duration, told: &mut PeerSync) -> Vec<LimitReport> {
         self.news(now, told, |known| known.is_own)
     }
 
     /// What one that asks here is to be told.
-    pub fn all_news(&self, now: Duration, told: &mut Told) -> Vec<LimitReport> {
+    pub fn all_changes(&self, now: Duration, told: &mut PeerSync) -> Vec<LimitReport> {
         self.news(now, told, |_| true)
     }
 
-    fn news(&self, now: Duration, told: &mut Told, is_meant: impl Fn(&Known) -> bool) -> Vec<LimitReport> {
+    fn news(&self, now: Duration, told: &mut PeerSync, is_meant: impl Fn(&Known) -> bool) -> Vec<LimitReport> {
         let complete = told.complete.is_none_or(|complete| now >= complete + COMPLETE);
         if complete {
             told.complete = Some(now);
@@ -130,7 +130,7 @@
     }
 
     /// Forgets endpoints that are not `known` any more, and limits that ended long ago.
-    pub fn age(&mut self, now: Duration, is_known: impl Fn(EndpointTag) -> bool) {
+    pub fn expire(&mut self, now: Duration, is_known: impl Fn(EndpointTag) -> bool) {
         let is_old = |known: &Known| now >= known.at + KEEP;
         self.known.retain(|endpoint, known| !is_old(known) || known.rate.is_some() && is_known(*endpoint));
     }
--- a/crates/rudder-core/src/reduce.rs
+++ b/crates/rudder-core/src/reduce.rs
@@ -379,7 +379,7 @@
             PeerMessage::FromPool { request, message } => self.on_pool(now, &from, request, message, out),
             PeerMessage::UsageTaken(taken) => self.tallies.on_taken(&from, taken),
             PeerMessage::AskPermit { ticket, start, request } => {
-                self.view.limits.record_told(now, request.limit);
+                self.view.limits.record_received(now, request.limit);
                 let answer = self.permits.answer(now, &self.me, &self.view, &self.options, &request);
                 out.push(Effect::Send { to: from, message: PeerMessage::Permit { ticket, start, answer } });
             }
--- a/crates/rudder-core/src/view.rs
+++ b/crates/rudder-core/src/view.rs
@@ -22,7 +22,7 @@
     Effect, Group, Listing, Me, Options, PeerMessage, Watch, Watched,
     asking::{Asking, Target},
     clock::Clock,
-    limits::{LimitReport, Limits, Told},
+    limits::{LimitReport, Limits, PeerSync},
     peer::{DirectoryNews, DocumentNews, Load},
     registry::{Change, Phase, Registration, Registry},
     subset::Scope,
@@ -83,7 +83,7 @@
     /// Rate limits that endpoints name.
     pub limits: Limits,
     /// What of them was told.
-    limits_told: Told,
+    limits_told: PeerSync,
     /// When they were last looked through for those to forget.
     limits_aged: Duration,
     /// When the others' work was as it is known here.
@@ -207,7 +207,7 @@
         }
         self.limits_aged = now;
         let known: BTreeSet<EndpointTag> = self.registry.iter().map(|held| id::endpoint_tag(&held.endpoint)).collect();
-        self.limits.age(now, |endpoint| known.contains(&endpoint));
+        self.limits.expire(now, |endpoint| known.contains(&endpoint));
     }
 
     /// The instance that decides for the pool of `model` in `hall`: by rendezvous hashing over the
@@ -287,7 +287,7 @@
         if with_loads {
             self.loads_told = Some(now);
         }
-        let limits = if with_loads { self.limits.own_news(now, &mut self.limits_told) } else { Vec::new() };
+        let limits = if with_loads { self.limits.own_changes(now, &mut self.limits_told) } else { Vec::new() };
         let watch = Watch {
             round: self.asking.round(),
             listing,
@@ -424,7 +424,7 @@
             }
         }
         for report in watched.limits {
-            self.limits.record_told(now, report);
+            self.limits.record_received(now, report);
         }
         if let Some(news) = watched.directory {
             changed |= self.take_directory((me, options), news, out);
--- a/crates/rudder-core/src/watchers.rs
+++ b/crates/rudder-core/src/watchers.rs
@@ -14,7 +14,7 @@
     Effect, Group, Listing, PeerMessage, Registry, Watch, Watched,
     delta_map::Version,
     document_history::DocumentHistory,
-    limits::{LimitReport, Limits, Told},
+    limits::{LimitReport, Limits, PeerSync},
     loads::{self, Loads},
     peer::{DocumentNews, Load},
     registry::RegistryDelta,
@@ -43,7 +43,7 @@
     directory: Sent,
     registry: Sent,
     /// What of the limits it was told.
-    limits: Told,
+    limits: PeerSync,
     /// Those who ask it, and the version of that list.
     group: Option<(u64, Vec<Listing>)>,
 }
@@ -166,7 +166,7 @@
     /// What the asker is told of the limits of the endpoints that it is told of.
     fn limit_news(&mut self, now: Duration, name: &InstanceId, source: &Source) -> Vec<LimitReport> {
         let Some(held) = self.asking.get_mut(name) else { return Vec::new() };
-        let mut news = source.limits.all_news(now, &mut held.limits);
+        let mut news = source.limits.all_changes(now, &mut held.limits);
         if let Some(tags) = &source.tags {
             news.retain(|report| tags.contains(&report.endpoint));
         }
@@ -200,7 +200,7 @@
                 document_at: now,
                 directory: Sent::default(),
                 registry: Sent::default(),
-                limits: Told::default(),
+                limits: PeerSync::default(),
                 group: None,
             };
             self.asking.insert(listing.name.clone(), fresh);
