--- a/crates/rudder-core/src/loads.rs
+++ b/crates/rudder-core/src/loads.rs
@@ -31,7 +31,7 @@
 
 impl Loads {
     /// Records what `from` has under way; it replaces what it said before.
-    pub fn tell(&mut self, now: Duration, from: &InstanceId, loads: Vec<Load>) {
+    pub fn record(&mut self, now: Duration, from: &InstanceId, loads: Vec<Load>) {
         for load in &loads {
             add(&mut self.totals, load);
         }
@@ -40,7 +40,7 @@
     }
 
     /// The work of all instances but `asker`, where there is any.
-    pub fn without(&self, asker: &InstanceId) -> Vec<Load> {
+    pub fn total_excluding(&self, asker: &InstanceId) -> Vec<Load> {
         let own = self.told.get(asker).map(|told| told.loads.as_slice()).unwrap_or_default();
         let own: HashMap<EndpointTag, &Load> = own.iter().map(|load| (load.endpoint, load)).collect();
         let mut others = Vec::with_capacity(self.totals.len());
@@ -62,12 +62,12 @@
     }
 
     /// The work of all instances together.
-    pub fn to_sum(&self) -> Vec<Load> {
+    pub fn total(&self) -> Vec<Load> {
         self.totals.values().cloned().collect()
     }
 
     /// Drops what was told too long ago.
-    pub fn age(&mut self, now: Duration) {
+    pub fn expire(&mut self, now: Duration) {
         let old = |told: &Told| now > told.at + MEMORY;
         let names: Vec<InstanceId> =
             self.told.iter().filter(|(_, told)| old(told)).map(|(name, _)| name.clone()).collect();
@@ -95,7 +95,7 @@
 }
 
 /// The work of `rest` and `more` together.
-pub fn join(rest: &[Load], more: Vec<Load>) -> Vec<Load> {
+pub fn merge(rest: &[Load], more: Vec<Load>) -> Vec<Load> {
     let mut totals: BTreeMap<EndpointTag, Load> = more.into_iter().map(|load| (load.endpoint, load)).collect();
     for load in rest {
         add(&mut totals, load);
--- a/crates/rudder-core/src/watchers.rs
+++ b/crates/rudder-core/src/watchers.rs
@@ -116,10 +116,10 @@
         // Only who takes callers chooses among endpoints, and relays pass the loads on.
         let told = watch.loads.is_some() && (watch.listing.address.is_some() || watch.group.is_some());
         if let Some(loads) = watch.loads.take() {
-            self.loads.tell(now, &name, loads);
+            self.loads.record(now, &name, loads);
         }
         let loads = told.then(|| {
-            let mut loads = loads::join(source.others, self.loads.without(&name));
+            let mut loads = loads::merge(source.others, self.loads.total_excluding(&name));
             if let Some(tags) = &source.tags {
                 loads.retain(|load| tags.contains(&load.endpoint));
             }
@@ -255,7 +255,7 @@
         if self.asking.len() != before {
             self.version += 1;
         }
-        self.loads.age(now);
+        self.loads.expire(now);
     }
 
     /// Who they are, for the leader; all members unless it holds `known` already.
@@ -269,7 +269,7 @@
 
     /// The work of all that ask, and `own`.
     pub fn join_loads(&self, own: &[Load]) -> Vec<Load> {
-        loads::join(own, self.loads.to_sum())
+        loads::merge(own, self.loads.total())
     }
 
     /// Requests under way at the endpoint `tag`, over all instances.
--- a/crates/rudder-core/tests/loads.rs
+++ b/crates/rudder-core/tests/loads.rs
@@ -22,7 +22,7 @@
         for (instance, word) in words {
             let instance = instance % 5;
             let word: BTreeMap<u8, u32> = word.into_iter().map(|(e, calls)| (e % 7, u32::from(calls) + 1)).collect();
-            loads.tell(Duration::ZERO, &name(instance), word.iter().map(|(e, calls)| load(*e, *calls)).collect());
+            loads.record(Duration::ZERO, &name(instance), word.iter().map(|(e, calls)| load(*e, *calls)).collect());
             latest.insert(instance, word);
         }
         (0..6_u8).all(|asker| {
@@ -33,7 +33,7 @@
                 }
             }
             let expected: Vec<Load> = sums.into_iter().map(|(endpoint, calls)| load(endpoint, calls)).collect();
-            loads.without(&name(asker)) == expected
+            loads.total_excluding(&name(asker)) == expected
         })
     }
 }
@@ -41,12 +41,12 @@
 #[test]
 fn an_old_word_does_not_count() {
     let mut loads = Loads::default();
-    loads.tell(Duration::ZERO, &name(1), vec![load(1, 3)]);
-    loads.tell(Duration::from_secs(1), &name(2), vec![load(1, 4)]);
-    loads.age(Duration::from_millis(1400));
-    assert_eq!(loads.without(&name(3)), vec![load(1, 7)]);
-    loads.age(Duration::from_millis(1600));
-    assert_eq!(loads.without(&name(3)), vec![load(1, 4)]);
+    loads.record(Duration::ZERO, &name(1), vec![load(1, 3)]);
+    loads.record(Duration::from_secs(1), &name(2), vec![load(1, 4)]);
+    loads.expire(Duration::from_millis(1400));
+    assert_eq!(loads.total_excluding(&name(3)), vec![load(1, 7)]);
+    loads.expire(Duration::from_millis(1600));
+    assert_eq!(loads.total_excluding(&name(3)), vec![load(1, 4)]);
     loads.clear();
-    assert!(loads.without(&name(3)).is_empty());
+    assert!(loads.total_excluding(&name(3)).is_empty());
 }
