--- a/crates/rudder-core/src/hall_tags.rs
+++ b/crates/rudder-core/src/hall_tags.rs
@@ -41,7 +41,7 @@
         if let Some(known) = known {
             return known.tags.clone();
         }
-        let told = registry.iter().filter(|held| scope.tells(hall, held));
+        let told = registry.iter().filter(|held| scope.includes(hall, held));
         let tags: Arc<HashSet<EndpointTag>> = Arc::new(told.map(|held| id::endpoint_tag(&held.endpoint)).collect());
         self.halls.insert(hall.clone(), Known { version, at: now, tags: tags.clone() });
         tags
--- a/crates/rudder-core/src/registry/scope.rs
+++ b/crates/rudder-core/src/registry/scope.rs
@@ -13,7 +13,7 @@
 impl Registry {
     /// Those that the instances of `hall` send to.
     pub fn used_in<'a>(&'a self, hall: &'a HallId) -> impl Iterator<Item = &'a Arc<Registration>> {
-        self.iter().filter(move |held| self.scope.as_ref().is_none_or(|scope| scope.tells(hall, held)))
+        self.iter().filter(move |held| self.scope.as_ref().is_none_or(|scope| scope.includes(hall, held)))
     }
 
     /// Sets that all endpoints are told here, whatever the scope.
@@ -47,7 +47,7 @@
             }
             return;
         }
-        self.entries.retain_replicated(|held| scope.tells(hall, held));
+        self.entries.retain_replicated(|held| scope.includes(hall, held));
         self.heard.retain(|endpoint, _| self.entries.get(endpoint).is_some());
         self.forget_unknown();
     }
@@ -73,8 +73,8 @@
     pub fn delta_since(&self, version: Version, hall: &HallId, scope: Option<&Scope>) -> Option<RegistryDelta> {
         let anew = scope.is_some_and(|scope| scope.widened.iter().any(|widened| widened.version > version));
         self.entries.delta_for(version, PAGE, anew, |held| match scope {
-            Some(scope) if !scope.tells(hall, held) => None,
-            scope => Some(scope.map_or(0, |scope| scope.told_since(hall, held))),
+            Some(scope) if !scope.includes(hall, held) => None,
+            scope => Some(scope.map_or(0, |scope| scope.included_since(hall, held))),
         })
     }
 }
--- a/crates/rudder-core/src/subset.rs
+++ b/crates/rudder-core/src/subset.rs
@@ -51,12 +51,12 @@
 
 impl Scope {
     /// True where the instances of `hall` are told of `held`.
-    pub fn tells(&self, hall: &HallId, held: &Registration) -> bool {
+    pub fn includes(&self, hall: &HallId, held: &Registration) -> bool {
         !held.standby && (held.hall == *hall || !self.local.contains(&held.service))
     }
 
     /// Version since which the instances of `hall` are told of `held`, where they were not always.
-    pub fn told_since(&self, hall: &HallId, held: &Registration) -> Version {
+    pub fn included_since(&self, hall: &HallId, held: &Registration) -> Version {
         let widened = self.widened.iter().find(|widened| widened.service == held.service);
         widened.filter(|_| held.hall != *hall).map_or(0, |widened| widened.version)
     }
