--- a/crates/rudder-core/src/hall_orders.rs
+++ b/crates/rudder-core/src/hall_orders.rs
@@ -43,7 +43,7 @@
     }
 
     /// Takes those out that have waited too long.
-    pub(crate) fn take_late(&mut self, now: Duration) -> Vec<HallOrder> {
+    pub(crate) fn take_expired(&mut self, now: Duration) -> Vec<HallOrder> {
         self.take(|order| now >= order.until)
     }
 
--- a/crates/rudder-core/src/reduce.rs
+++ b/crates/rudder-core/src/reduce.rs
@@ -310,7 +310,7 @@
 
     /// Answers the orders on halls that have waited in vain for proof; asks for it again for the others.
     fn end_hall_orders(&mut self, now: Duration, out: &mut Vec<Effect>) {
-        for late in self.hall_orders.take_late(now) {
+        for late in self.hall_orders.take_expired(now) {
             out.push(Effect::Evacuated { ticket: late.ticket, decided: false });
         }
         if !self.hall_orders.is_empty() {
