--- a/crates/rudder-core/src/calls/admit.rs
+++ b/crates/rudder-core/src/calls/admit.rs
@@ -74,7 +74,7 @@
 }
 
 /// Models and services that some class of the key's organisation reaches; `None` for a wrong key.
-pub fn to_models(view: &View, bearer: &str) -> Option<Vec<ModelId>> {
+pub fn reachable_models(view: &View, bearer: &str) -> Option<Vec<ModelId>> {
     let config = &view.config;
     let org = view.org_of_key(bearer)?;
     let classes: Vec<ClassId> = config.iter_kind(Kind::Class).map(|(name, _)| ClassId::from(name)).collect();
--- a/crates/rudder-core/src/calls/mod.rs
+++ b/crates/rudder-core/src/calls/mod.rs
@@ -14,7 +14,7 @@
 mod end;
 mod slots;
 
-pub use admit::to_models;
+pub use admit::reachable_models;
 
 use crate::{
     Arrival, Effect, Me, Options, PeerMessage, Verdict, keyed,
@@ -135,7 +135,7 @@
     }
 
     /// True while `request` is under way.
-    pub fn holds(&self, request: RequestId) -> bool {
+    pub fn is_open(&self, request: RequestId) -> bool {
         self.open.contains_key(&request)
     }
 
--- a/crates/rudder-node/src/control.rs
+++ b/crates/rudder-node/src/control.rs
@@ -198,7 +198,7 @@
         };
         let Ok(request) = RequestId::from_str_radix(request, 16) else { return };
         // Only a caller whose answer is held back still listens after this.
-        if !self.state.calls.holds(request) {
+        if !self.state.calls.is_open(request) {
             self.calls.remove(&request);
         }
         self.outcomes.insert(request, word);
@@ -215,7 +215,7 @@
             Query::Entries => {
                 QueryReply::Entries(view.to_entries(&self.state.options.nearest), self.state.options.keep)
             }
-            Query::Models { bearer } => QueryReply::Models(calls::to_models(view, &bearer)),
+            Query::Models { bearer } => QueryReply::Models(calls::reachable_models(view, &bearer)),
             Query::Objects(kind, None) => {
                 let objects = view.config.iter_kind(kind).map(|(name, held)| (name.to_owned(), held.clone()));
                 QueryReply::Objects(objects.collect(), view.config.index)
@@ -226,7 +226,7 @@
             }
             Query::Status => QueryReply::Status(Box::new(self.to_status())),
             Query::Outcome(request) => {
-                let open = self.state.calls.holds(request).then(|| Arc::from("open"));
+                let open = self.state.calls.is_open(request).then(|| Arc::from("open"));
                 QueryReply::Outcome(open.or_else(|| self.outcomes.get(&request).cloned()))
             }
         }
