--- a/crates/rudder-core/src/calls/admit.rs
+++ b/crates/rudder-core/src/calls/admit.rs
@@ -40,7 +40,7 @@
     let patience = arrival.patience.map_or(class.patience, |own| own.min(class.patience));
     Ok(Call {
         arrived: context.now,
-        until: context.now + patience,
+        deadline: context.now + patience,
         phase: Phase::Claiming { next: context.now },
         attempt: None,
         pools,
--- a/crates/rudder-core/src/calls/end.rs
+++ b/crates/rudder-core/src/calls/end.rs
@@ -73,7 +73,7 @@
     fn wait_again(&mut self, context: &mut Context, request: RequestId, produced: u32) {
         let Some(call) = self.open.get_mut(&request) else { return };
         call.produced = produced;
-        call.until = context.now + call.class.patience;
+        call.deadline = context.now + call.class.patience;
         let Some(pool) = call.pool() else { return };
         let Some(home) = context.view.home(&pool.0, &pool.1) else { return };
         call.phase = Phase::Asking { home, sent: context.now };
--- a/crates/rudder-core/src/calls/mod.rs
+++ b/crates/rudder-core/src/calls/mod.rs
@@ -45,7 +45,7 @@
     pub(crate) class: Class,
     pub(crate) org: OrgId,
     pub(crate) arrived: Duration,
-    pub(crate) until: Duration,
+    pub(crate) deadline: Duration,
     pub(crate) phase: Phase,
     pub(crate) attempt: Option<Attempt>,
     pools: Vec<PoolId>,
@@ -122,7 +122,7 @@
             once: self.class.once || self.attempt.is_some(),
             resumable: self.arrival.resumable,
             slack: (self.arrived + self.class.target).saturating_sub(context.now),
-            patience: self.until.saturating_sub(context.now),
+            patience: self.deadline.saturating_sub(context.now),
             reach,
         })
     }
--- a/crates/rudder-core/src/calls/slots.rs
+++ b/crates/rudder-core/src/calls/slots.rs
@@ -112,7 +112,7 @@
             return;
         }
         let spills = matches!(refusal.code, RefusalCode::Overloaded | RefusalCode::NotAllowed);
-        if spills && call.at + 1 < call.pools.len() && context.now < call.until {
+        if spills && call.at + 1 < call.pools.len() && context.now < call.deadline {
             call.at += 1;
             self.ask(context, request);
             return;
@@ -138,7 +138,7 @@
             Phase::Claiming { next } if context.now >= *next => keyed::claim(self, context, request),
             Phase::Asking { home, sent } => {
                 // The pool refuses in time; this is for a pool that has gone silent.
-                if context.now >= call.until + ASK_RETRY {
+                if context.now >= call.deadline + ASK_RETRY {
                     let text = "no decision came in time";
                     let refusal = Refusal::not_run(RefusalCode::WaitedOut, text, Some(ASK_RETRY));
                     self.refuse(context, request, refusal);
--- a/crates/rudder-core/src/keyed.rs
+++ b/crates/rudder-core/src/keyed.rs
@@ -36,7 +36,7 @@
     call.attempt = Some(attempt.clone());
     call.phase = Phase::Claiming { next: Duration::MAX };
     let claim = Claim { key: to_key(&call.org, &key.name), digest: key.digest, attempt };
-    let deadline = (context.now + CLAIM_TIMEOUT).min(call.until.max(context.now + FOLLOW));
+    let deadline = (context.now + CLAIM_TIMEOUT).min(call.deadline.max(context.now + FOLLOW));
     context.proposals.start(Purpose::Claim(request), Command::Claim(claim), deadline);
 }
 
@@ -76,7 +76,7 @@
         end_unclaimed(calls, context, request, Refusal::unknown(RefusalCode::OwnerGone, text));
         return;
     }
-    if context.now + FOLLOW > call.until {
+    if context.now + FOLLOW > call.deadline {
         let mut refusal = Refusal::unknown(RefusalCode::KeyRunning, "the request with this key is still running");
         refusal.retry = Some(Duration::from_secs(1));
         end_unclaimed(calls, context, request, refusal);
