--- a/crates/rudder-core/src/calls/end.rs
+++ b/crates/rudder-core/src/calls/end.rs
@@ -7,7 +7,7 @@
 use rudder_route::GrantOutcome;
 
 use super::{Calls, Context, Phase, slots::withdraw, to_hex};
-use crate::{Ended, Verdict, keyed, peer::ToPool, reach};
+use crate::{Ended, Verdict, idempotency, peer::ToPool, reach};
 
 /// How a dispatched call failed, as [`Ended::Failed`] tells it.
 struct Failure {
@@ -35,7 +35,7 @@
                 self.tell_home(context, request, ToPool::End(request, GrantOutcome::Done { tokens, first, total }));
                 self.log_done(context, request, endpoint, tokens);
                 match stored {
-                    Some(stored) if call_has_key(self, request) => keyed::finish(self, context, request, stored),
+                    Some(stored) if call_has_key(self, request) => idempotency::finish(self, context, request, stored),
                     _ => {
                         self.open.remove(&request);
                     }
@@ -56,7 +56,7 @@
             Ended::Left => {
                 self.tell_home(context, request, ToPool::End(request, GrantOutcome::Dropped));
                 context.log(What::Left { request: to_hex(request) });
-                keyed::abandon(self, context, request, Ran::Unknown);
+                idempotency::abandon(self, context, request, Ran::Unknown);
                 self.open.remove(&request);
             }
         }
@@ -116,7 +116,7 @@
     pub(crate) fn refuse(&mut self, context: &mut Context, request: RequestId, mut refusal: Refusal) {
         if let Some(call) = self.open.get(&request) {
             refusal.ran = call.ran;
-            keyed::abandon(self, context, request, refusal.ran);
+            idempotency::abandon(self, context, request, refusal.ran);
         }
         self.end_refused(context, request, refusal);
     }
--- a/crates/rudder-core/src/calls/mod.rs
+++ b/crates/rudder-core/src/calls/mod.rs
@@ -17,7 +17,7 @@
 pub use admit::reachable_models;
 
 use crate::{
-    Arrival, Effect, Me, Options, PeerMessage, Verdict, keyed,
+    Arrival, Effect, Me, Options, PeerMessage, Verdict, idempotency,
     peer::ToPool,
     propose::{Proposals, Purpose},
     reach::{self, PoolId},
@@ -154,7 +154,7 @@
                 let keyed = call.arrival.key.is_some();
                 self.open.insert(request, call);
                 if keyed {
-                    keyed::claim(self, context, request);
+                    idempotency::claim(self, context, request);
                 } else {
                     self.ask(context, request);
                 }
@@ -171,7 +171,7 @@
         standing: Option<rudder_ledger::Standing>,
     ) {
         match purpose {
-            Purpose::Claim(request) => keyed::on_claimed(self, context, *request, standing),
+            Purpose::Claim(request) => idempotency::on_claimed(self, context, *request, standing),
             Purpose::Finish(request) => {
                 if self.open.remove(request).is_some() {
                     context.verdict(*request, Verdict::Release);
--- a/crates/rudder-core/src/calls/slots.rs
+++ b/crates/rudder-core/src/calls/slots.rs
@@ -8,7 +8,7 @@
 
 use super::{Call, Calls, Context, Phase, admit::stale, to_hex};
 use crate::{
-    Dispatch, Verdict, keyed,
+    Dispatch, Verdict, idempotency,
     peer::{FromPool, ToPool},
     reach::{self, PoolId},
 };
@@ -135,7 +135,7 @@
     fn tick_call(&mut self, context: &mut Context, request: RequestId) {
         let Some(call) = self.open.get(&request) else { return };
         match &call.phase {
-            Phase::Claiming { next } if context.now >= *next => keyed::claim(self, context, request),
+            Phase::Claiming { next } if context.now >= *next => idempotency::claim(self, context, request),
             Phase::Asking { home, sent } => {
                 // The pool refuses in time; this is for a pool that has gone silent.
                 if context.now >= call.deadline + ASK_RETRY {
--- a/crates/rudder-core/src/lib.rs
+++ b/crates/rudder-core/src/lib.rs
@@ -36,7 +36,7 @@
 pub(crate) mod hall_orders;
 pub(crate) mod hall_tags;
 pub mod homes;
-pub mod keyed;
+pub mod idempotency;
 pub mod limits;
 pub mod lives;
 pub mod loads;
--- a/crates/rudder-core/src/reduce.rs
+++ b/crates/rudder-core/src/reduce.rs
@@ -15,7 +15,7 @@
     duties::{self, Duties},
     hall_orders::{HallOrder, HallOrders},
     homes::Homes,
-    keyed,
+    idempotency,
     orders::Orders,
     peer::FromPool,
     permits::Permits,
@@ -367,7 +367,7 @@
                 }
             }
             PeerMessage::Attempt { key, attempt } => {
-                self.with_calls(now, out, |calls, context| keyed::on_attempt(calls, context, key, attempt));
+                self.with_calls(now, out, |calls, context| idempotency::on_attempt(calls, context, key, attempt));
             }
             PeerMessage::ToPool { hall, model, message } => {
                 let context = (&self.view, &self.options);
