--- a/crates/rudder-core/src/duties/intake.rs
+++ b/crates/rudder-core/src/duties/intake.rs
@@ -10,8 +10,8 @@
 use crate::{
     Effect, PeerMessage,
     options::UsageOptions,
-    tally::{UsageNews, UsageTaken, window_end, window_of},
     tree::Directory,
+    usage::{UsageAck, UsageUpdate, window_end, window_of},
 };
 
 /// Time between two commands of counts: what comes in between goes into one.
@@ -26,7 +26,7 @@
 #[derive(Debug)]
 struct Waiting {
     from: InstanceId,
-    news: UsageNews,
+    news: UsageUpdate,
 }
 
 /// What an instance has said of its windows.
@@ -57,7 +57,7 @@
     }
 
     /// Handles a message.
-    pub(crate) fn note(&mut self, from: &InstanceId, news: UsageNews) {
+    pub(crate) fn note(&mut self, from: &InstanceId, news: UsageUpdate) {
         self.waiting.insert(news.start, Waiting { from: from.clone(), news });
     }
 
@@ -107,8 +107,8 @@
                 return true;
             }
             known.insert(waiting.from.clone(), Known { start: *start, before: news.before, at: now });
-            let taken = UsageTaken { start: *start, sequence: news.sequence, before: news.before };
-            out.push(Effect::Send { to: waiting.from.clone(), message: PeerMessage::UsageTaken(taken) });
+            let taken = UsageAck { start: *start, sequence: news.sequence, before: news.before };
+            out.push(Effect::Send { to: waiting.from.clone(), message: PeerMessage::UsageAck(taken) });
             false
         });
     }
--- a/crates/rudder-core/src/duties/mod.rs
+++ b/crates/rudder-core/src/duties/mod.rs
@@ -26,7 +26,7 @@
     reports::Reports,
     scaling::{Scaling, ServiceState},
 };
-use crate::{Effect, Me, Options, control::Control, tally::UsageNews};
+use crate::{Effect, Me, Options, control::Control, usage::UsageUpdate};
 
 /// Fences of one term: its calls count up in the lower bits. A term that made one call a millisecond could last for 17
 /// minutes before it would reach the next one's fences; calls are bounded to far fewer.
@@ -248,7 +248,7 @@
     }
 
     /// Handles a message of counts. Only a leader answers it.
-    pub(crate) fn on_usage(&mut self, from: &InstanceId, news: UsageNews) {
+    pub(crate) fn on_usage(&mut self, from: &InstanceId, news: UsageUpdate) {
         self.intake.note(from, news);
     }
 
--- a/crates/rudder-core/src/duties/reports.rs
+++ b/crates/rudder-core/src/duties/reports.rs
@@ -7,7 +7,7 @@
 use rudder_ledger::{Command, Window};
 
 use super::{Backoff, CallOutcome, Context, DutyCall, Flying, PROPOSE_AGAIN, fence};
-use crate::{Effect, options::UsageOptions, tally::window_end};
+use crate::{Effect, options::UsageOptions, usage::window_end};
 
 /// Reports under way.
 #[derive(Debug, Default)]
--- a/crates/rudder-core/src/event.rs
+++ b/crates/rudder-core/src/event.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     CallOutcome, PeerMessage, Stored, duties::scaling::ServiceState, limits::LimitReport, peer::Load,
-    permits::PermitRequest, registry::Registration, tally::Begun,
+    permits::PermitRequest, registry::Registration, usage::StartedRequest,
 };
 
 /// Anything that happens to an instance.
@@ -103,7 +103,7 @@
     /// How services stand whose engines are ordered; comes a few times a second at the leader.
     Services(Vec<ServiceState>),
     /// Requests that began to run at endpoints.
-    Begun(Vec<Begun>),
+    RequestsStarted(Vec<StartedRequest>),
     /// What became of contents under which endpoints ended.
     Found(Findings),
     /// This instance's clock has stepped: the time of day at which its own time was zero, by that clock.
--- a/crates/rudder-core/src/lib.rs
+++ b/crates/rudder-core/src/lib.rs
@@ -18,7 +18,7 @@
 //! - [`limits`]: rate limits that endpoints name, as all instances know them; [`permits`]: who may send to such endpoints;
 //! - `founding`: the start of the log;
 //! - [`clock`]: the time of day that all agree on;
-//! - [`tally`]: requests by organisation, on their way to the leader;
+//! - [`usage`]: requests by organisation, on their way to the leader;
 //! - [`duties`]: calls that one instance makes for all, under the leader's lease;
 //! - [`orders`]: fenced orders to endpoints, sent by the leader only.
 #![deny(missing_docs, unsafe_code)]
@@ -49,8 +49,8 @@
 pub mod reduce;
 pub mod registry;
 pub mod subset;
-pub mod tally;
 pub mod tree;
+pub mod usage;
 pub mod view;
 pub mod watchers;
 
--- a/crates/rudder-core/src/peer.rs
+++ b/crates/rudder-core/src/peer.rs
@@ -14,7 +14,7 @@
     permits::{PermitAnswer, PermitRequest},
     registry::{Registration, RegistryDelta},
     subset::Scope,
-    tally::{UsageNews, UsageTaken},
+    usage::{UsageAck, UsageUpdate},
 };
 
 /// A live instance, as the leader lists it.
@@ -264,9 +264,10 @@
         message: FromPool,
     },
     /// To the leader: requests that began at the sender.
-    Usage(Box<UsageNews>),
+    Usage(Box<UsageUpdate>),
     /// Answers [`PeerMessage::Usage`], once the log holds it.
-    UsageTaken(UsageTaken),
+    #[serde(rename = "UsageTaken")]
+    UsageAck(UsageAck),
     /// To the holder of an endpoint's rate limit: the sender wants to send to the endpoint.
     AskPermit {
         /// Counts the sender's questions.
@@ -315,7 +316,7 @@
             PeerMessage::Resync { .. } => "resync",
             PeerMessage::FromPool { .. } => "from_pool",
             PeerMessage::Usage(_) => "usage",
-            PeerMessage::UsageTaken(_) => "usage_taken",
+            PeerMessage::UsageAck(_) => "usage_taken",
             PeerMessage::AskPermit { .. } => "ask_permit",
             PeerMessage::Permit { .. } => "permit",
         }
--- a/crates/rudder-core/src/reduce.rs
+++ b/crates/rudder-core/src/reduce.rs
@@ -21,7 +21,7 @@
     permits::Permits,
     propose::{Proposals, Purpose},
     registry::{Phase, Registration, Registry},
-    tally::Tallies,
+    usage::UsageReporter,
     view::View,
     watchers::Watchers,
 };
@@ -51,7 +51,7 @@
     pub homes: Homes,
     orders: Orders,
     duties: Duties,
-    tallies: Tallies,
+    usage_reporter: UsageReporter,
     proposals: Proposals,
     promises: Promises,
     stopping: Option<Duration>,
@@ -94,7 +94,7 @@
             homes: Homes::default(),
             orders: Orders::default(),
             duties: Duties::default(),
-            tallies: Tallies::default(),
+            usage_reporter: UsageReporter::default(),
             proposals: Proposals::default(),
             promises: Promises::default(),
             stopping: None,
@@ -125,8 +125,8 @@
     }
 
     /// Requests that began here and that the log does not hold yet.
-    pub fn untold(&self) -> u64 {
-        self.tallies.untold()
+    pub fn unreported_requests(&self) -> u64 {
+        self.usage_reporter.unreported_requests()
     }
 
     /// Handles one event. Messages of the instance to itself are handled before it returns.
@@ -193,9 +193,9 @@
             Event::AskPermit { ticket, request } => {
                 self.permits.ask(now, &self.me, &self.view, (ticket, request), out);
             }
-            Event::Begun(begun) => {
+            Event::RequestsStarted(begun) => {
                 if let Some(usage) = &self.options.duties.usage {
-                    self.tallies.note(begun, &self.view, usage);
+                    self.usage_reporter.note(begun, &self.view, usage);
                 }
             }
             Event::Found(findings) => self.findings.append(findings),
@@ -228,7 +228,7 @@
             self.duties.tick(duties::Context { now, time, me: &self.me, control, options: &self.options, out });
         }
         if let Some(usage) = &self.options.duties.usage {
-            self.tallies.tick(now, &self.me, &self.view, usage, out);
+            self.usage_reporter.tick(now, &self.me, &self.view, usage, out);
         }
         self.propose_findings(now);
         self.watchers.age(now, self.options.gone);
@@ -377,7 +377,7 @@
                 self.with_calls(now, out, |calls, context| calls.resync(context, from, &(hall, model)));
             }
             PeerMessage::FromPool { request, message } => self.on_pool(now, &from, request, message, out),
-            PeerMessage::UsageTaken(taken) => self.tallies.on_taken(&from, taken),
+            PeerMessage::UsageAck(taken) => self.usage_reporter.on_taken(&from, taken),
             PeerMessage::AskPermit { ticket, start, request } => {
                 self.view.limits.record_received(now, request.limit);
                 let answer = self.permits.answer(now, &self.me, &self.view, &self.options, &request);
--- a/crates/rudder-core/src/tally.rs
+++ b/crates/rudder-core/src/usage.rs
@@ -22,7 +22,7 @@
 
 /// Requests of one organisation.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Begun {
+pub struct StartedRequest {
     /// The organisation.
     pub org: OrgId,
     /// When the request began to run, by this instance's own time.
@@ -31,7 +31,7 @@
 
 /// A message of counts to the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct UsageNews {
+pub struct UsageUpdate {
     /// The start of the sender.
     pub start: Start,
     /// Counts the sender's messages that carry counts from 1; 0 in one that carries none.
@@ -44,7 +44,7 @@
 
 /// The leader's word that the log holds a message's counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct UsageTaken {
+pub struct UsageAck {
     /// The start of the message's sender.
     pub start: Start,
     /// Which message.
@@ -55,14 +55,14 @@
 
 #[derive(Debug)]
 struct Carried {
-    news: UsageNews,
+    news: UsageUpdate,
     to: InstanceId,
     sent: Duration,
 }
 
 /// The counts of this instance.
 #[derive(Debug, Default)]
-pub(crate) struct Tallies {
+pub(crate) struct UsageReporter {
     fresh: BTreeMap<(Window, OrgId), u64>,
     carried: Option<Carried>,
     sequence: u64,
@@ -81,10 +81,10 @@
     Duration::from_micros(length.as_micros() as u64 * (window + 1))
 }
 
-impl Tallies {
+impl UsageReporter {
     /// Records requests that began here.
-    pub(crate) fn note(&mut self, begun: Vec<Begun>, view: &View, usage: &UsageOptions) {
-        for Begun { org, at } in begun {
+    pub(crate) fn note(&mut self, begun: Vec<StartedRequest>, view: &View, usage: &UsageOptions) {
+        for StartedRequest { org, at } in begun {
             let window = window_of(view.clock.at(at), usage.window);
             *self.fresh.entry((window, org)).or_default() += 1;
         }
@@ -115,24 +115,24 @@
         self.carried = Some(carried);
     }
 
-    fn take_news(&mut self, me: &Me, before: Window) -> UsageNews {
+    fn take_news(&mut self, me: &Me, before: Window) -> UsageUpdate {
         let fresh = std::mem::take(&mut self.fresh).into_iter();
         let counts: Vec<Count> = fresh.map(|((window, org), requests)| Count { window, org, requests }).collect();
         if counts.is_empty() {
-            return UsageNews { start: me.start, sequence: 0, before, counts };
+            return UsageUpdate { start: me.start, sequence: 0, before, counts };
         }
         self.sequence += 1;
-        UsageNews { start: me.start, sequence: self.sequence, before, counts }
+        UsageUpdate { start: me.start, sequence: self.sequence, before, counts }
     }
 
     /// Requests that the log does not hold yet, as far as is known here.
-    pub(crate) fn untold(&self) -> u64 {
+    pub(crate) fn unreported_requests(&self) -> u64 {
         let carried = self.carried.iter().flat_map(|carried| &carried.news.counts).map(|count| count.requests);
         self.fresh.values().sum::<u64>() + carried.sum::<u64>()
     }
 
     /// Records the leader's word on a message.
-    pub(crate) fn on_taken(&mut self, from: &InstanceId, taken: UsageTaken) {
+    pub(crate) fn on_taken(&mut self, from: &InstanceId, taken: UsageAck) {
         let answers = |carried: &Carried| {
             carried.news.start == taken.start
                 && carried.news.sequence == taken.sequence
--- a/crates/rudder-core/tests/clock.rs
+++ b/crates/rudder-core/tests/clock.rs
@@ -4,7 +4,7 @@
 
 use rudder_core::{
     clock::Clock,
-    tally::{window_end, window_of},
+    usage::{window_end, window_of},
 };
 
 const TRUE: Duration = Duration::from_secs(1_000_000);
--- a/crates/rudder-core/tests/fleet.rs
+++ b/crates/rudder-core/tests/fleet.rs
@@ -281,7 +281,7 @@
     fn check_reported(&self) -> Result<(), String> {
         let leader = self.mesh.leader().and_then(|number| self.mesh.nodes[number].state.as_ref());
         let late = leader.and_then(|state| state.control.as_ref()).map_or(0, |control| control.ledger.usage.late());
-        let (reported, lost) = (self.mesh.receiver.reported(ORG), self.mesh.untold);
+        let (reported, lost) = (self.mesh.receiver.reported(ORG), self.mesh.unreported);
         if reported + late + lost < self.begun {
             let begun = self.begun;
             return Err(format!("{reported} requests reported of {begun}, {late} came late, {lost} were lost"));
--- a/crates/rudder-core/tests/mesh/mod.rs
+++ b/crates/rudder-core/tests/mesh/mod.rs
@@ -10,7 +10,7 @@
 use rand_pcg::Pcg32;
 use rudder_core::{
     CallOutcome, DutyCall, Effect, Event, Listing, Me, Options, PeerMessage, Phase, Registration, State, Watch,
-    Watched, options::DutyOptions, permits::PermitAnswer, tally::Begun,
+    Watched, options::DutyOptions, permits::PermitAnswer, usage::StartedRequest,
 };
 use rudder_ledger::Document;
 use rudder_model::{InstanceId, id};
@@ -127,7 +127,7 @@
     /// Time that a message takes beyond the usual, at most.
     pub delay: Duration,
     /// Requests that had begun at instances that were killed and that the log may not hold.
-    pub untold: u64,
+    pub unreported: u64,
     /// Who takes the calls of duties.
     pub receiver: Receiver,
     /// Orders of engines at full price take 20 ms longer, so that others overtake them.
@@ -243,7 +243,7 @@
             halls,
             loss: 0.0,
             delay: Duration::ZERO,
-            untold: 0,
+            unreported: 0,
             receiver: Receiver::default(),
             unordered: false,
             sabotage: Sabotage::None,
@@ -300,7 +300,7 @@
 
     /// Ends an instance without a word; saves under way are lost.
     pub fn kill(&mut self, number: usize) {
-        self.untold += self.nodes[number].state.take().map_or(0, |state| state.untold());
+        self.unreported += self.nodes[number].state.take().map_or(0, |state| state.unreported_requests());
         self.nodes[number].paused = false;
         self.nodes[number].held.clear();
         self.nodes[number].saves.clear();
@@ -339,8 +339,8 @@
     /// A request of `org` begins to run now, sent by an instance.
     pub fn begin(&mut self, number: usize, org: &str) {
         let count = if self.sabotage == Sabotage::CountTwice { 2 } else { 1 };
-        let begun = Begun { org: org.into(), at: self.now };
-        self.tell(number, Event::Begun(vec![begun; count]));
+        let begun = StartedRequest { org: org.into(), at: self.now };
+        self.tell(number, Event::RequestsStarted(vec![begun; count]));
     }
 
     /// True where an instance may write a call of its duty now.
--- a/crates/rudder-gateway/src/driver.rs
+++ b/crates/rudder-gateway/src/driver.rs
@@ -205,7 +205,7 @@
     }
 
     fn note_standing(&self) {
-        self.standing.untold.store(self.state.untold(), Ordering::Relaxed);
+        self.standing.untold.store(self.state.unreported_requests(), Ordering::Relaxed);
         let Some(control) = &self.state.control else { return };
         let replica = &control.replica;
         self.standing.term.store(replica.term(), Ordering::Relaxed);
--- a/crates/rudder-gateway/src/shared.rs
+++ b/crates/rudder-gateway/src/shared.rs
@@ -11,7 +11,7 @@
 use crossbeam_channel::Sender;
 use rudder_clock::Moment;
 use rudder_core::{
-    Event, Listing, Phase, Registration, limits::LimitReport, peer::Load, permits::PermitAnswer, tally::Begun,
+    Event, Listing, Phase, Registration, limits::LimitReport, peer::Load, permits::PermitAnswer, usage::StartedRequest,
 };
 use rudder_events::What;
 use rudder_ledger::{Document, Evacuations, Quarantine};
@@ -168,7 +168,7 @@
     /// Where a planned stop stands.
     pub stage: watch::Sender<Stage>,
     /// Requests that began at endpoints since the reducer was last told; kept where their number is reported.
-    pub begun: RefCell<Vec<Begun>>,
+    pub begun: RefCell<Vec<StartedRequest>>,
     /// Requests of callers under way.
     pub open: Cell<u64>,
     /// The log.
@@ -240,14 +240,14 @@
         let wanted = self.options.duties.as_ref().is_some_and(|duties| duties.core.usage.is_some());
         let Some(organisation) = organisation.filter(|_| wanted) else { return };
         let at = at.saturating_duration_since(self.started);
-        self.begun.borrow_mut().push(Begun { org: organisation.clone(), at });
+        self.begun.borrow_mut().push(StartedRequest { org: organisation.clone(), at });
     }
 
     /// Tells the reducer of the requests that began.
     pub fn tell_begun(&self) {
         let begun = std::mem::take(&mut *self.begun.borrow_mut());
         if !begun.is_empty() {
-            self.tell(Event::Begun(begun));
+            self.tell(Event::RequestsStarted(begun));
         }
     }
 
