--- a/crates/rudder-core/src/asking.rs
+++ b/crates/rudder-core/src/asking.rs
@@ -130,7 +130,8 @@
     /// True where it is time for a question: the last one was answered a period ago, or nobody answers it.
     pub fn is_due(&mut self, now: Duration, options: &Options) -> bool {
         let Some(asked) = self.asked_at else { return true };
-        let period = if self.asks_relay() { options.watch * options.tree.periods } else { options.watch };
+        let period =
+            if self.asks_relay() { options.watch_interval * options.tree.periods } else { options.watch_interval };
         if self.answered >= self.round {
             return now >= asked + period;
         }
--- a/crates/rudder-core/src/calls/admit.rs
+++ b/crates/rudder-core/src/calls/admit.rs
@@ -70,7 +70,7 @@
 
 pub(crate) fn stale(options: &Options) -> Refusal {
     let text = "this instance cannot prove that its configuration is fresh; use another entry";
-    Refusal::not_run(RefusalCode::Stale, text, Some(options.watch * 2))
+    Refusal::not_run(RefusalCode::Stale, text, Some(options.watch_interval * 2))
 }
 
 /// Models and services that some class of the key's organisation reaches; `None` for a wrong key.
--- a/crates/rudder-core/src/control.rs
+++ b/crates/rudder-core/src/control.rs
@@ -339,8 +339,8 @@
             let watchers = &self.watchers;
             self.registry.update_subsets(|held| watchers.calls_at(id::endpoint_tag(&held.endpoint)));
         }
-        self.watchers.age(now, options.gone);
-        let gone = |seen: Duration| now >= seen + options.gone;
+        self.watchers.age(now, options.liveness_timeout);
+        let gone = |seen: Duration| now >= seen + options.liveness_timeout;
         let names = self.live.iter().filter(|(_, seen)| gone(**seen)).map(|(name, _)| name.clone());
         let names: Vec<InstanceId> = names.collect();
         for name in names {
--- a/crates/rudder-core/src/homes.rs
+++ b/crates/rudder-core/src/homes.rs
@@ -138,7 +138,7 @@
     }
 
     fn poll(&mut self, now: Duration, me: &Me, view: &View, options: &Options, out: &mut Vec<Effect>) {
-        let due = |polled: &Polled| polled.at.is_none_or(|at| now >= at + options.poll);
+        let due = |polled: &Polled| polled.at.is_none_or(|at| now >= at + options.poll_interval);
         for (name, endpoint) in reach::iter_endpoints(&view.config) {
             let Some((hall, model)) = reach::pool_of(endpoint) else { continue };
             let mine = self.pools.contains_key(&(hall.clone(), model.clone()))
--- a/crates/rudder-core/src/options.rs
+++ b/crates/rudder-core/src/options.rs
@@ -65,21 +65,21 @@
 #[derive(Clone, Debug)]
 pub struct Options {
     /// Instances that may lead: those with a disk.
-    pub seats: Vec<InstanceId>,
+    pub seeds: Vec<InstanceId>,
     /// Instances that found the log together.
     pub founders: Vec<InstanceId>,
     /// Halls, nearest first.
     pub nearest: Vec<HallId>,
     /// Time between questions for newer configuration.
-    pub watch: Duration,
+    pub watch_interval: Duration,
     /// No new work is started without proof this young.
-    pub fresh: Duration,
+    pub freshness_bound: Duration,
     /// An instance silent for this long is taken off the directory.
-    pub gone: Duration,
+    pub liveness_timeout: Duration,
     /// How long callers may keep the list of entries.
-    pub keep: Duration,
+    pub entries_ttl: Duration,
     /// Time between looks at an endpoint.
-    pub poll: Duration,
+    pub poll_interval: Duration,
     /// Time between two loads ordered, over all endpoints.
     pub load_interval: Duration,
     /// An order is given up after this long.
@@ -91,7 +91,7 @@
     /// Who asks the leader and who asks a relay.
     pub tree: Tree,
     /// An endpoint unheard for this long is shown as silent.
-    pub silence: Duration,
+    pub silence_timeout: Duration,
     /// An endpoint's word that it leaves is acknowledged within this or not at all.
     pub leave_timeout: Duration,
     /// Duties held by one instance.
@@ -105,20 +105,20 @@
 impl Default for Options {
     fn default() -> Self {
         Options {
-            seats: Vec::new(),
+            seeds: Vec::new(),
             founders: Vec::new(),
             nearest: Vec::new(),
-            watch: Duration::from_millis(400),
-            fresh: Duration::from_secs(3),
-            gone: Duration::from_secs(2),
-            keep: Duration::from_secs(10),
-            poll: Duration::from_secs(1),
+            watch_interval: Duration::from_millis(400),
+            freshness_bound: Duration::from_secs(3),
+            liveness_timeout: Duration::from_secs(2),
+            entries_ttl: Duration::from_secs(10),
+            poll_interval: Duration::from_secs(1),
             load_interval: Duration::from_secs(2),
             order_timeout: Duration::from_secs(2),
             snapshot_every: 5000,
             snapshot_bytes: 64 << 20,
             tree: Tree::default(),
-            silence: Duration::from_secs(5),
+            silence_timeout: Duration::from_secs(5),
             leave_timeout: Duration::from_millis(800),
             duties: DutyOptions::default(),
             replica: rudder_replica::Options::default(),
--- a/crates/rudder-core/src/orders.rs
+++ b/crates/rudder-core/src/orders.rs
@@ -82,7 +82,7 @@
     options: &Options,
     out: &mut Vec<Effect>,
 ) {
-    if target.polled.is_some_and(|at| now < at + options.poll) {
+    if target.polled.is_some_and(|at| now < at + options.poll_interval) {
         return;
     }
     target.polled = Some(now);
--- a/crates/rudder-core/src/permits.rs
+++ b/crates/rudder-core/src/permits.rs
@@ -93,7 +93,7 @@
     ) -> PermitAnswer {
         let is_holder = self.holder(view, request).is_some_and(|holder| holder == me.name);
         // Once the others may have dropped this instance from their lists, another one is the holder.
-        if !is_holder || !view.is_listed(now, options.gone) {
+        if !is_holder || !view.is_listed(now, options.liveness_timeout) {
             return PermitAnswer::Denied(NOT_HELD);
         }
         let wanted = request.wanted.max(1);
--- a/crates/rudder-core/src/reduce.rs
+++ b/crates/rudder-core/src/reduce.rs
@@ -79,11 +79,11 @@
     pub fn new(now: Duration, me: Me, options: Options, disk: Option<(ReplicaId, Durable)>) -> State {
         let control = disk.map(|(id, durable)| Control::new(id, &me, &options, durable, now));
         let mut view = View::default();
-        view.registry = Registry::new(options.silence);
+        view.registry = Registry::new(options.silence_timeout);
         if control.is_some() {
             view.registry.set_unscoped();
         }
-        view.set_seeds(options.seats.clone());
+        view.set_seeds(options.seeds.clone());
         view.clock = Clock::new(me.epoch);
         State {
             me,
@@ -116,7 +116,7 @@
 
     /// True while this instance may start new work.
     pub fn is_ready(&self, now: Duration) -> bool {
-        self.view.is_fresh(now, self.options.fresh) && self.stopping.is_none()
+        self.view.is_fresh(now, self.options.freshness_bound) && self.stopping.is_none()
     }
 
     /// Commands on their way to the leader.
@@ -231,7 +231,7 @@
             self.usage_reporter.tick(now, &self.me, &self.view, usage, out);
         }
         self.propose_findings(now);
-        self.watchers.age(now, self.options.gone);
+        self.watchers.age(now, self.options.liveness_timeout);
         self.watchers.tick(now, out);
         self.ask(now, out);
         self.end_leaves(now, out);
@@ -278,7 +278,7 @@
         let endpoint = registration.endpoint.clone();
         self.view.hear(now, registration);
         if !leaves {
-            let taken = self.view.is_fresh(now, self.options.fresh);
+            let taken = self.view.is_fresh(now, self.options.freshness_bound);
             out.push(Effect::Registered { ticket, taken });
             return;
         }
@@ -331,7 +331,7 @@
     fn end_stop(&mut self, now: Duration, out: &mut Vec<Effect>) {
         let Some(since) = self.stopping else { return };
         // A list handed out just before others learned of the stop is kept for as long again.
-        let expired = now >= since + self.options.keep + self.options.fresh;
+        let expired = now >= since + self.options.entries_ttl + self.options.freshness_bound;
         let idle = self.calls.is_empty() && self.proposals.len() == 0;
         if !expired || !idle || self.exited {
             return;
--- a/crates/rudder-core/src/registry/mod.rs
+++ b/crates/rudder-core/src/registry/mod.rs
@@ -147,7 +147,7 @@
 
 impl Default for Registry {
     fn default() -> Self {
-        Registry::new(Options::default().silence)
+        Registry::new(Options::default().silence_timeout)
     }
 }
 
--- a/crates/rudder-core/src/view.rs
+++ b/crates/rudder-core/src/view.rs
@@ -266,7 +266,7 @@
         options: &Options,
         out: &mut Vec<Effect>,
     ) {
-        self.log_freshness(now, options.fresh, out);
+        self.log_freshness(now, options.freshness_bound, out);
         if !self.asking.is_due(now, options) {
             return;
         }
@@ -323,7 +323,7 @@
 
     /// What a relay answers from; `None` at an instance that is none, or that has no fresh proof.
     pub(crate) fn to_source(&self, now: Duration, options: &Options) -> Option<Source<'_>> {
-        let proved = self.proved.filter(|proved| self.is_relay(options) && now < *proved + options.fresh)?;
+        let proved = self.proved.filter(|proved| self.is_relay(options) && now < *proved + options.freshness_bound)?;
         Some(Source {
             leader: self.asking.last_leader()?,
             age: now.saturating_sub(proved),
--- a/crates/rudder-core/tests/alone/mod.rs
+++ b/crates/rudder-core/tests/alone/mod.rs
@@ -35,7 +35,7 @@
         let me =
             Me { name: "a".into(), hall: "h".into(), start: 1, address: Some("a".to_owned()), epoch: Duration::ZERO };
         let options = Options {
-            seats: vec!["a".into()],
+            seeds: vec!["a".into()],
             founders: vec!["a".into()],
             nearest: vec!["h".into()],
             load_interval: LOADS,
--- a/crates/rudder-core/tests/mesh/mod.rs
+++ b/crates/rudder-core/tests/mesh/mod.rs
@@ -275,11 +275,11 @@
             epoch: Duration::from_secs(1_000_000),
         };
         let options = Options {
-            seats: node.seeds.clone(),
+            seeds: node.seeds.clone(),
             founders: if founding { node.seeds.clone() } else { Vec::new() },
-            watch: Duration::from_millis(250),
-            fresh: Duration::from_millis(4500),
-            gone: Duration::from_millis(1500),
+            watch_interval: Duration::from_millis(250),
+            freshness_bound: Duration::from_millis(4500),
+            liveness_timeout: Duration::from_millis(1500),
             duties,
             replica: rudder_replica::Options {
                 replace: Duration::from_millis(1500),
--- a/crates/rudder-core/tests/world/mod.rs
+++ b/crates/rudder-core/tests/world/mod.rs
@@ -223,10 +223,10 @@
         let mut nearest = HALLS.to_vec();
         nearest.sort_by_key(|other| *other != hall);
         let options = Options {
-            seats: (0..5).map(|index| InstanceId::from(format!("node-{index}"))).collect(),
+            seeds: (0..5).map(|index| InstanceId::from(format!("node-{index}"))).collect(),
             founders: (0..3).map(|index| InstanceId::from(format!("node-{index}"))).collect(),
             nearest: nearest.into_iter().map(Into::into).collect(),
-            fresh: FRESH,
+            freshness_bound: FRESH,
             snapshot_every: 30,
             replica: rudder_replica::Options {
                 seed: self.start,
--- a/crates/rudder-gateway/src/driver.rs
+++ b/crates/rudder-gateway/src/driver.rs
@@ -153,14 +153,14 @@
 
 fn to_core(options: &Options) -> rudder_core::Options {
     rudder_core::Options {
-        seats: options.seeds.clone(),
+        seeds: options.seeds.clone(),
         founders: if options.bootstrap { options.seeds.clone() } else { Vec::new() },
-        watch: options.watch,
-        fresh: options.max_proof_age,
-        gone: Duration::from_millis(800),
-        keep: options.keep,
+        watch_interval: options.watch,
+        freshness_bound: options.max_proof_age,
+        liveness_timeout: Duration::from_millis(800),
+        entries_ttl: options.keep,
         snapshot_bytes: SNAPSHOT,
-        silence: options.heartbeat * HEARTBEATS_MISSED + HEARTBEAT_LATE,
+        silence_timeout: options.heartbeat * HEARTBEATS_MISSED + HEARTBEAT_LATE,
         tree: options.policy.relays.clone(),
         duties: to_duties(options),
         replica: rudder_replica::Options {
--- a/crates/rudder-node/src/control.rs
+++ b/crates/rudder-node/src/control.rs
@@ -213,7 +213,7 @@
         let view = &self.state.view;
         match query {
             Query::Entries => {
-                QueryReply::Entries(view.to_entries(&self.state.options.nearest), self.state.options.keep)
+                QueryReply::Entries(view.to_entries(&self.state.options.nearest), self.state.options.entries_ttl)
             }
             Query::Models { bearer } => QueryReply::Models(calls::reachable_models(view, &bearer)),
             Query::Objects(kind, None) => {
--- a/crates/rudder-node/src/start.rs
+++ b/crates/rudder-node/src/start.rs
@@ -178,13 +178,13 @@
         settings.peers.iter().filter(chosen).map(|peer| peer.name.get_ref().clone()).collect()
     };
     Options {
-        seats: names(|peer| peer.disk),
+        seeds: names(|peer| peer.disk),
         founders: names(|peer| peer.founder),
         nearest: settings.nearest.get_ref().clone(),
-        watch: control.watch,
-        fresh: control.fresh,
-        keep: settings.traffic.keep,
-        poll: settings.traffic.poll,
+        watch_interval: control.watch,
+        freshness_bound: control.fresh,
+        entries_ttl: settings.traffic.keep,
+        poll_interval: settings.traffic.poll,
         load_interval: control.load_interval,
         order_timeout: control.order_timeout,
         replica: rudder_replica::Options {
