--- a/crates/rudder-core/src/homes.rs
+++ b/crates/rudder-core/src/homes.rs
@@ -107,7 +107,7 @@
         for (id, pool) in &mut self.pools {
             pool.configure(&to_specs(view, id));
             pool.set_reach(|ask| reach::in_pool(&view.config, &ask.class, &ask.org, &ask.model, id));
-            pool.retain_live(now, |ask| view.holds(&ask.entry, ask.id), &mut decisions);
+            pool.retain_live(now, |ask| view.is_entry_alive(&ask.entry, ask.id), &mut decisions);
         }
         send(decisions, out);
     }
--- a/crates/rudder-core/src/view.rs
+++ b/crates/rudder-core/src/view.rs
@@ -69,11 +69,11 @@
     /// Halls whose endpoints get nothing.
     pub evacuations: Arc<Evacuations>,
     /// Work of all other instances at endpoints, as of the question that proves the configuration.
-    pub others: Vec<Load>,
+    pub remote_loads: Vec<Load>,
     /// Counts the changes of what traffic needs: directory, document, registry.
-    pub edition: u64,
+    pub revision: u64,
     /// Counts the changes of the others' work.
-    pub works: u64,
+    pub load_revision: u64,
     unconfirmed: BTreeMap<EndpointId, Unconfirmed>,
     /// Counts the heartbeats heard here.
     heard: u64,
@@ -87,7 +87,7 @@
     /// When they were last looked through for those to forget.
     limits_aged: Duration,
     /// When the others' work was as it is known here.
-    others_at: Option<Duration>,
+    remote_loads_at: Option<Duration>,
     /// The time of day.
     pub clock: Clock,
 }
@@ -162,7 +162,7 @@
     pub(crate) fn hear(&mut self, now: Duration, registration: Registration) {
         let change = self.registry.record_heartbeat(now, &registration);
         if change != Change::None {
-            self.edition += 1;
+            self.revision += 1;
             self.asking.ask_soon();
         }
         self.heard += 1;
@@ -176,15 +176,15 @@
     }
 
     /// When the others' work was as it is known here.
-    pub fn others_at(&self) -> Option<Duration> {
-        self.others_at
+    pub fn remote_loads_at(&self) -> Option<Duration> {
+        self.remote_loads_at
     }
 
     /// True where it is time to exchange loads: the more there are, the less often, so that a link carries as much of them
     /// in a second whatever the number of endpoints.
     fn are_loads_due(&self, now: Duration, options: &Options) -> bool {
         let factor = if options.tree.has_relays(&self.directory) { RELAYED } else { 1 };
-        let pause = (LOADS_EACH * factor * self.others.len() as u32).min(LOADS_PAUSE_MOST);
+        let pause = (LOADS_EACH * factor * self.remote_loads.len() as u32).min(LOADS_PAUSE_MOST);
         self.loads_told.is_none_or(|told| now >= told + pause)
     }
 
@@ -243,7 +243,7 @@
     }
 
     /// True when the entry that a request came from is still alive.
-    pub fn holds(&self, entry: &str, request: RequestId) -> bool {
+    pub fn is_entry_alive(&self, entry: &str, request: RequestId) -> bool {
         self.is_alive(entry, id::start_of(request))
     }
 
@@ -336,7 +336,7 @@
             tags: None,
             quarantine: &self.quarantine,
             evacuations: &self.evacuations,
-            others: &self.others,
+            others: &self.remote_loads,
             limits: &self.limits,
             time: self.clock.agreed(now),
         })
@@ -412,15 +412,15 @@
         }
         if let Some(news) = watched.registry {
             // Most versions of a large registry are about endpoints that are not told here.
-            self.edition += u64::from(news.has_changes());
+            self.revision += u64::from(news.has_changes());
             urgent |= self.registry.apply_delta(now, news);
         }
         self.take_scope((me, options), watched.scope, out);
         if let Some(loads) = watched.loads.filter(|_| sent.target != Target::PastRelay) {
-            self.others_at = proof.or(self.others_at);
-            if self.others != loads {
-                self.works += 1;
-                self.others = loads;
+            self.remote_loads_at = proof.or(self.remote_loads_at);
+            if self.remote_loads != loads {
+                self.load_revision += 1;
+                self.remote_loads = loads;
             }
         }
         for report in watched.limits {
@@ -464,7 +464,7 @@
         promises.check(Promise::NoRevert, document.version > held);
         out.push(Effect::Log(What::Documented { version: document.version, before: held }));
         self.document = Some(document);
-        self.edition += 1;
+        self.revision += 1;
         true
     }
 
@@ -472,7 +472,7 @@
     fn take_quarantine(&mut self, news: Option<QuarantineNews>) -> bool {
         let Some(news) = news else { return false };
         let taken = Arc::make_mut(&mut self.quarantine).take(news);
-        self.edition += u64::from(taken);
+        self.revision += u64::from(taken);
         taken
     }
 
@@ -481,7 +481,7 @@
         let Some(news) = news else { return false };
         let taken = Arc::make_mut(&mut self.evacuations).take(news);
         if taken {
-            self.edition += 1;
+            self.revision += 1;
             let halls = self.evacuations.evacuated().cloned().collect();
             out.push(Effect::Log(What::Evacuations { index: self.evacuations.index(), halls }));
         }
@@ -528,7 +528,7 @@
             out.push(Effect::Log(What::Directory { live: now.len(), came, went }));
         }
         self.choose_relays((me, options), out);
-        self.edition += 1;
+        self.revision += 1;
         true
     }
 
@@ -539,7 +539,7 @@
         }
         self.registry.set_scope(&me.hall, scope);
         self.choose_relays((me, options), out);
-        self.edition += 1;
+        self.revision += 1;
     }
 
     /// Works out whom to ask. Relays know no more of the registry than their hall is told, so who may lead next asks the leader.
--- a/crates/rudder-core/tests/large.rs
+++ b/crates/rudder-core/tests/large.rs
@@ -143,7 +143,7 @@
     mesh.run(Duration::from_secs(3));
     let calls = |mesh: &Mesh, number: usize| -> u32 {
         let state = mesh.nodes[number].state.as_ref().expect("it runs");
-        state.view.others.iter().filter(|load| load.endpoint == tag).map(|load| load.calls).sum()
+        state.view.remote_loads.iter().filter(|load| load.endpoint == tag).map(|load| load.calls).sum()
     };
     assert_eq!(calls(&mesh, askers[0]), 15 - 2);
     assert_eq!(calls(&mesh, askers[200]), 15 - 8);
--- a/crates/rudder-gateway/src/driver.rs
+++ b/crates/rudder-gateway/src/driver.rs
@@ -253,8 +253,8 @@
     /// Tells traffic of a newer view first and of its proof after it.
     fn publish(&mut self) {
         let view = &self.state.view;
-        if view.edition != self.edition {
-            self.edition = view.edition;
+        if view.revision != self.edition {
+            self.edition = view.revision;
             let endpoints: Vec<Arc<Registration>> = view.registry.used_in(&self.state.me.hall).cloned().collect();
             let published = Published {
                 document: view.document.clone(),
@@ -268,10 +268,10 @@
             self.batch.push(Notice::Published(Box::new(published)));
         }
         let view = &self.state.view;
-        if let Some(at) = view.others_at().filter(|at| Some(*at) != self.others_at) {
-            let changed = view.works != self.works;
-            (self.works, self.others_at) = (view.works, Some(at));
-            self.batch.push(Notice::Others(changed.then(|| view.others.clone()), self.epoch + at));
+        if let Some(at) = view.remote_loads_at().filter(|at| Some(*at) != self.others_at) {
+            let changed = view.load_revision != self.works;
+            (self.works, self.others_at) = (view.load_revision, Some(at));
+            self.batch.push(Notice::Others(changed.then(|| view.remote_loads.clone()), self.epoch + at));
         }
         if view.limits.edition() != self.limits {
             self.limits = view.limits.edition();
