--- a/crates/rudder-core/src/calls/end.rs
+++ b/crates/rudder-core/src/calls/end.rs
@@ -13,7 +13,7 @@
 struct Failure {
     sent: bool,
     refused: bool,
-    rest: Option<Duration>,
+    retry_after: Option<Duration>,
     produced: u32,
 }
 
@@ -41,8 +41,8 @@
                     }
                 }
             }
-            Ended::Failed { sent, refused, rest, produced } => {
-                let failure = Failure { sent, refused, rest, produced };
+            Ended::Failed { sent, refused, retry_after, produced } => {
+                let failure = Failure { sent, refused, retry_after, produced };
                 self.on_failed(context, request, &endpoint, &failure);
             }
             Ended::Recalled { produced } => {
@@ -80,7 +80,7 @@
     }
 
     fn on_failed(&mut self, context: &mut Context, request: RequestId, endpoint: &EndpointId, failure: &Failure) {
-        let Failure { sent, refused, rest, produced } = *failure;
+        let Failure { sent, refused, retry_after, produced } = *failure;
         let believed = reach::endpoint(&context.view.config, endpoint).is_some_and(|held| held.believed);
         let Some(call) = self.open.get_mut(&request) else { return };
         let ran = if !sent || (refused && believed) { Ran::No } else { Ran::Unknown };
@@ -94,7 +94,7 @@
         self.tell_home(
             context,
             request,
-            ToPool::End(request, GrantOutcome::Failed { retryable: again, unsent: !sent, retry_after: rest }),
+            ToPool::End(request, GrantOutcome::Failed { retryable: again, unsent: !sent, retry_after }),
         );
         if again {
             self.wait_again(context, request, produced);
--- a/crates/rudder-core/src/effect.rs
+++ b/crates/rudder-core/src/effect.rs
@@ -68,7 +68,7 @@
         /// Identifies the waiting connection.
         ticket: u64,
         /// Taken in, and where it says that the endpoint leaves, known to the leader.
-        taken: bool,
+        accepted: bool,
     },
     /// Answer a request that is to be sent to an endpoint with a rate limit.
     Permitted {
--- a/crates/rudder-core/src/event.rs
+++ b/crates/rudder-core/src/event.rs
@@ -32,7 +32,7 @@
     /// A caller's request.
     Arrive(Box<Arrival>),
     /// The first token or byte of an answer came.
-    First {
+    FirstOutput {
         /// The request.
         request: RequestId,
         /// Time since its dispatch.
@@ -64,7 +64,7 @@
         /// The endpoint.
         endpoint: EndpointId,
         /// It took the order.
-        taken: bool,
+        accepted: bool,
     },
     /// A whole configuration, checked, from an operator.
     PutDocument {
@@ -105,18 +105,18 @@
     /// Requests that began to run at endpoints.
     RequestsStarted(Vec<StartedRequest>),
     /// What became of contents under which endpoints ended.
-    Found(Findings),
+    Findings(Findings),
     /// This instance's clock has stepped: the time of day at which its own time was zero, by that clock.
-    Clock(Duration),
+    ClockStepped(Duration),
     /// A call of [`crate::Effect::Call`] ended.
-    Called {
+    CallEnded {
         /// Which one.
         ticket: u64,
         /// How.
         outcome: CallOutcome,
     },
     /// Somebody waits for a proof of freshness: ask the leader now.
-    Prove,
+    ProveFreshness,
     /// The settings name other instances to start from.
     Seeds(Vec<InstanceId>),
     /// A planned stop was asked for.
@@ -187,7 +187,7 @@
         /// The endpoint itself refused it.
         refused: bool,
         /// It wants nothing for this long.
-        rest: Option<Duration>,
+        retry_after: Option<Duration>,
         /// Output events the caller already has.
         produced: u32,
     },
--- a/crates/rudder-core/src/reduce.rs
+++ b/crates/rudder-core/src/reduce.rs
@@ -162,7 +162,7 @@
                 }
             }
             Event::Arrive(arrival) => self.with_calls(now, out, |calls, context| calls.arrive(context, *arrival)),
-            Event::First { request, after } => {
+            Event::FirstOutput { request, after } => {
                 self.with_calls(now, out, |calls, context| calls.on_first(context, request, after));
             }
             Event::Ended { request, ended } => {
@@ -176,7 +176,7 @@
                 self.orders.on_polled(&endpoint, report.as_ref());
                 self.homes.on_polled(now, &endpoint, report.as_ref(), &self.view, out);
             }
-            Event::Ordered { endpoint, taken } => self.orders.on_ordered(&endpoint, taken),
+            Event::Ordered { endpoint, accepted } => self.orders.on_ordered(&endpoint, accepted),
             Event::PutDocument { ticket, document } => {
                 let command = Command::Document(document);
                 self.proposals.start(Purpose::Document(ticket), command, now + DOCUMENT_TIMEOUT);
@@ -198,7 +198,7 @@
                     self.usage_reporter.note(begun, &self.view, usage);
                 }
             }
-            Event::Found(findings) => self.findings.append(findings),
+            Event::Findings(findings) => self.findings.append(findings),
             Event::Services(states) => {
                 let time = self.view.clock.at(now);
                 if let Some(control) = &mut self.control {
@@ -206,9 +206,9 @@
                     self.duties.on_services(context, states);
                 }
             }
-            Event::Clock(origin) => self.view.clock.set_own(now, origin),
-            Event::Called { ticket, outcome } => self.duties.on_called(now, ticket, outcome),
-            Event::Prove => {
+            Event::ClockStepped(origin) => self.view.clock.set_own(now, origin),
+            Event::CallEnded { ticket, outcome } => self.duties.on_called(now, ticket, outcome),
+            Event::ProveFreshness => {
                 self.view.asking.ask_leader_soon();
                 self.ask(now, out);
             }
@@ -278,8 +278,8 @@
         let endpoint = registration.endpoint.clone();
         self.view.hear(now, registration);
         if !leaves {
-            let taken = self.view.is_fresh(now, self.options.freshness_bound);
-            out.push(Effect::Registered { ticket, taken });
+            let accepted = self.view.is_fresh(now, self.options.freshness_bound);
+            out.push(Effect::Registered { ticket, accepted });
             return;
         }
         self.leaves.push(Leave { ticket, endpoint, until: now + self.options.leave_timeout });
@@ -290,9 +290,9 @@
     fn end_leaves(&mut self, now: Duration, out: &mut Vec<Effect>) {
         let view = &self.view;
         self.leaves.retain(|leave| {
-            let taken = view.is_confirmed(&leave.endpoint);
-            if taken || now >= leave.until {
-                out.push(Effect::Registered { ticket: leave.ticket, taken });
+            let accepted = view.is_confirmed(&leave.endpoint);
+            if accepted || now >= leave.until {
+                out.push(Effect::Registered { ticket: leave.ticket, accepted });
                 return false;
             }
             true
--- a/crates/rudder-core/tests/duties.rs
+++ b/crates/rudder-core/tests/duties.rs
@@ -162,10 +162,10 @@
     clocks_step: |mesh| {
         let origin = Duration::from_secs(1_000_000);
         for number in [leader(mesh), 6, 9] {
-            mesh.tell(number, Event::Clock(origin + Duration::from_secs(3)));
+            mesh.tell(number, Event::ClockStepped(origin + Duration::from_secs(3)));
         }
         let begun = serve(mesh, Duration::from_secs(6));
-        mesh.tell(0, Event::Clock(origin.saturating_sub(Duration::from_secs(3))));
+        mesh.tell(0, Event::ClockStepped(origin.saturating_sub(Duration::from_secs(3))));
         begun
     };
 }
@@ -176,7 +176,7 @@
     let mut mesh = start();
     let origin = Duration::from_secs(1_000_000);
     for number in [leader(&mesh), 7] {
-        mesh.tell(number, Event::Clock(origin + Duration::from_secs(2)));
+        mesh.tell(number, Event::ClockStepped(origin + Duration::from_secs(2)));
     }
     mesh.run(Duration::from_secs(2));
     // 100 requests within one window of 5 s, none within half a second of its edges.
--- a/crates/rudder-core/tests/fleet.rs
+++ b/crates/rudder-core/tests/fleet.rs
@@ -183,7 +183,7 @@
             What::KillHall(hall) => self.kill_hall(hall),
             What::KillAll => (0..TOTAL).for_each(|number| self.mesh.kill(number)),
             What::Rough => (self.mesh.loss, self.mesh.delay) = (0.05, Duration::from_millis(150)),
-            What::Step(number) => self.mesh.tell(number, Event::Clock(ORIGIN + Duration::from_secs(2))),
+            What::Step(number) => self.mesh.tell(number, Event::ClockStepped(ORIGIN + Duration::from_secs(2))),
             What::Receiver(mood) => self.mesh.receiver.mood = mood,
             What::Put(number) => return self.put(number),
             What::Leave(number) => return self.leave(number),
@@ -235,7 +235,7 @@
             What::Pause(number) => self.mesh.wake(number),
             What::Cut(number) => self.mesh.nodes[number].cut = false,
             What::Rough => (self.mesh.loss, self.mesh.delay) = (0.0, Duration::ZERO),
-            What::Step(number) => self.mesh.tell(number, Event::Clock(ORIGIN)),
+            What::Step(number) => self.mesh.tell(number, Event::ClockStepped(ORIGIN)),
             What::Receiver(_) => self.mesh.receiver.mood = Mood::Answers,
             _ => {}
         }
--- a/crates/rudder-core/tests/mesh/mod.rs
+++ b/crates/rudder-core/tests/mesh/mod.rs
@@ -493,7 +493,7 @@
             }
             Effect::Documented { ticket, version } => drop(self.documented.insert(ticket, version)),
             Effect::Evacuated { ticket, decided } => drop(self.evacuated.insert(ticket, decided)),
-            Effect::Registered { ticket, taken } => drop(self.registered.insert(ticket, taken)),
+            Effect::Registered { ticket, accepted } => drop(self.registered.insert(ticket, accepted)),
             Effect::Permitted { ticket, answer } => drop(self.permitted.insert(ticket, answer)),
             _ => {}
         }
@@ -546,7 +546,7 @@
         } else {
             CallOutcome::Lapsed
         };
-        self.tell(number, Event::Called { ticket, outcome });
+        self.tell(number, Event::CallEnded { ticket, outcome });
     }
 
     fn finish_saves(&mut self, number: usize, starts: u64, save: u64) {
--- a/crates/rudder-core/tests/world/mod.rs
+++ b/crates/rudder-core/tests/world/mod.rs
@@ -495,9 +495,9 @@
         let (first, total) = (Duration::from_millis(time), Duration::from_millis(time));
         let ended = match behaviour {
             Behaviour::Good => Ended::Done { tokens: 0, first, total, stored },
-            Behaviour::Down => Ended::Failed { sent: false, refused: false, rest: None, produced: 0 },
-            Behaviour::LosesAnswers => Ended::Failed { sent: !lied, refused: false, rest: None, produced: 0 },
-            Behaviour::Refuses => Ended::Failed { sent: true, refused: true, rest: None, produced: 0 },
+            Behaviour::Down => Ended::Failed { sent: false, refused: false, retry_after: None, produced: 0 },
+            Behaviour::LosesAnswers => Ended::Failed { sent: !lied, refused: false, retry_after: None, produced: 0 },
+            Behaviour::Refuses => Ended::Failed { sent: true, refused: true, retry_after: None, produced: 0 },
         };
         self.schedule(time, Delivery::Finish(node, request, ended));
     }
--- a/crates/rudder-gateway/src/call/ended.rs
+++ b/crates/rudder-gateway/src/call/ended.rs
@@ -31,7 +31,7 @@
     });
     let findings = shared.contents.borrow().note_ended(call.content, &choice.endpoint);
     if let Some(findings) = findings {
-        shared.tell(Event::Found(findings));
+        shared.tell(Event::Findings(findings));
     }
     true
 }
@@ -40,7 +40,7 @@
 pub fn note_answered<D: Dialect>(shared: &Shared<D>, call: &Call) {
     let findings = shared.contents.borrow_mut().note_answered(call.content, Moment::now());
     if let Some(findings) = findings {
-        shared.tell(Event::Found(findings));
+        shared.tell(Event::Findings(findings));
     }
 }
 
--- a/crates/rudder-gateway/src/driver.rs
+++ b/crates/rudder-gateway/src/driver.rs
@@ -200,7 +200,7 @@
         let origin = to_origin(self.epoch);
         if origin.abs_diff(self.clock) >= clock::STEP {
             self.clock = origin;
-            self.reduce(Event::Clock(origin));
+            self.reduce(Event::ClockStepped(origin));
         }
     }
 
@@ -298,7 +298,9 @@
             Effect::Evacuated { ticket, decided } => {
                 self.batch.push(Notice::Reply(ticket, Reply::Evacuated(decided)));
             }
-            Effect::Registered { ticket, taken } => self.batch.push(Notice::Reply(ticket, Reply::Registered(taken))),
+            Effect::Registered { ticket, accepted } => {
+                self.batch.push(Notice::Reply(ticket, Reply::Registered(accepted)));
+            }
             Effect::Permitted { ticket, answer } => self.batch.push(Notice::Reply(ticket, Reply::Permit(answer))),
             Effect::Log(what) => self.log.write(what),
             Effect::Call { ticket, fence, age, call } => {
--- a/crates/rudder-gateway/src/duty.rs
+++ b/crates/rudder-gateway/src/duty.rs
@@ -66,7 +66,7 @@
         took_ms: began.elapsed().as_millis() as u64,
         age_ms: errand.age.as_millis() as u64,
     });
-    shared.tell(Event::Called { ticket: errand.ticket, outcome });
+    shared.tell(Event::CallEnded { ticket: errand.ticket, outcome });
 }
 
 async fn send<D: Dialect>(shared: &Shared<D>, duties: &Duties, errand: &Errand) -> Ended {
--- a/crates/rudder-gateway/src/shared.rs
+++ b/crates/rudder-gateway/src/shared.rs
@@ -295,7 +295,7 @@
 
     /// Waits until the plan is proved the newest as of `since`, at most for `bound`.
     pub async fn prove(&self, since: Moment, bound: Duration) -> bool {
-        self.tell(Event::Prove);
+        self.tell(Event::ProveFreshness);
         let mut proofs = self.proof.subscribe();
         let proved = proofs.wait_for(|proof| proof.is_some_and(|proof| proof >= since));
         matches!(tokio::time::timeout(bound, proved).await, Ok(Ok(_)))
@@ -335,7 +335,7 @@
     /// Holds the end of endpoints that are known to have ended now against what broke off there.
     fn tell_ended(&self, roster: &Roster) {
         for findings in self.contents.borrow_mut().take_ended(roster.replaced()) {
-            self.tell(Event::Found(findings));
+            self.tell(Event::Findings(findings));
         }
     }
 
--- a/crates/rudder-node/src/endpoint.rs
+++ b/crates/rudder-node/src/endpoint.rs
@@ -88,11 +88,11 @@
         Errand::Order { endpoint, address, load, fence, until } => {
             // Checked as late as can be: the lease may have run out while this waited.
             if Instant::now() >= until {
-                return Some(Event::Ordered { endpoint, taken: false });
+                return Some(Event::Ordered { endpoint, accepted: false });
             }
             let order = Order { load, term: fence.0, count: fence.1 };
-            let taken = agent.post(format!("http://{address}/orders")).send_json(&order).is_ok();
-            Some(Event::Ordered { endpoint, taken })
+            let accepted = agent.post(format!("http://{address}/orders")).send_json(&order).is_ok();
+            Some(Event::Ordered { endpoint, accepted })
         }
         Errand::Cancel { address, request } => {
             // The closed connection cancels as well; this is only faster.
--- a/crates/rudder-node/src/upstream.rs
+++ b/crates/rudder-node/src/upstream.rs
@@ -180,7 +180,7 @@
             Err(error) => {
                 let sent = !is_unsent(&error);
                 self.sent |= sent;
-                Ended::Failed { sent, refused: false, rest: None, produced: self.produced }
+                Ended::Failed { sent, refused: false, retry_after: None, produced: self.produced }
             }
             Ok(response) => {
                 self.sent = true;
@@ -238,8 +238,8 @@
         let broken = if self.target.engine { status >= 500 } else { matches!(status, 502 | 504) };
         if refused || broken || !self.is_own(response.headers()) {
             let retry_after = response.headers().get("retry-after").filter(|_| status == 503);
-            let rest = retry_after.and_then(|value| read_retry_after(value.to_str().ok()?));
-            return Ended::Failed { sent: true, refused, rest, produced: self.produced };
+            let retry_after = retry_after.and_then(|value| read_retry_after(value.to_str().ok()?));
+            return Ended::Failed { sent: true, refused, retry_after, produced: self.produced };
         }
         let streams = self.target.stream && status == 200;
         if streams {
@@ -247,7 +247,7 @@
         }
         if self.produced > 0 {
             // A stream that has begun cannot go on as a whole answer.
-            return Ended::Failed { sent: true, refused: false, rest: None, produced: self.produced };
+            return Ended::Failed { sent: true, refused: false, retry_after: None, produced: self.produced };
         }
         self.whole(response, keyed, start)
     }
@@ -262,7 +262,7 @@
         let content = to_content(response.headers());
         let read = response.into_body().with_config().limit(ANSWER).read_to_vec();
         let Ok(body) = read else {
-            return Ended::Failed { sent: true, refused: false, rest: None, produced: 0 };
+            return Ended::Failed { sent: true, refused: false, retry_after: None, produced: 0 };
         };
         let total = start.elapsed();
         let tokens = serde_json::from_slice::<WithUsage>(&body).map_or(0, |with| with.usage.completion_tokens);
@@ -294,7 +294,7 @@
                 None if first.is_none() => {
                     let after = start.elapsed();
                     first = Some(after);
-                    let _ = self.shared.inputs.send(Input::Event(Event::First { request: self.id, after }));
+                    let _ = self.shared.inputs.send(Input::Event(Event::FirstOutput { request: self.id, after }));
                 }
                 None => {}
             }
@@ -304,7 +304,7 @@
         };
         let produced = self.produced;
         match stop {
-            Stop::Broken => Ended::Failed { sent: true, refused: false, rest: None, produced },
+            Stop::Broken => Ended::Failed { sent: true, refused: false, retry_after: None, produced },
             Stop::Recalled => Ended::Recalled { produced },
             Stop::Left => Ended::Left,
             Stop::Whole => {
