--- a/crates/rudder-core/tests/effects.rs
+++ b/crates/rudder-core/tests/effects.rs
@@ -1,15 +1,15 @@
 //! The order of effects is part of the contract with the threads that carry them out.
 
-mod alone;
+mod single;
 
-use alone::Alone;
 use rudder_core::{Arrival, Effect, Event, Verdict};
 use rudder_events::What;
 use rudder_model::{RefusalCode, id};
+use single::SingleInstance;
 
 #[test]
 fn the_verdict_of_a_refusal_comes_before_its_log_line() {
-    let mut alone = Alone::new();
+    let mut alone = SingleInstance::new();
     alone.run(2000);
     let arrival = Arrival {
         request: id::request_id(1, 1),
--- a/crates/rudder-core/tests/orders.rs
+++ b/crates/rudder-core/tests/orders.rs
@@ -1,13 +1,13 @@
 //! Fenced orders: one leader's take effect, at one shared rate.
 
-mod alone;
+mod single;
 
-use alone::{Alone, LOADS, engine};
 use rudder_model::{Endpoint, Object};
+use single::{LOAD_INTERVAL, SingleInstance, engine};
 
 /// A leader whose `endpoints` want something loaded; true for those that check fences.
-fn wanting(endpoints: &[(&str, bool)]) -> Alone {
-    let mut alone = Alone::new();
+fn wanting(endpoints: &[(&str, bool)]) -> SingleInstance {
+    let mut alone = SingleInstance::new();
     for (name, checks) in endpoints {
         let endpoint = Endpoint { load: "m:v2".to_owned(), checks: *checks, ..engine() };
         alone.put(name, Object::Endpoint(endpoint));
@@ -21,7 +21,7 @@
     alone.run(12_000);
     assert!(alone.orders.len() >= 3, "{:?}", alone.orders);
     for pair in alone.orders.windows(2) {
-        assert!(pair[1].at >= pair[0].at + LOADS, "two loads within the interval: {pair:?}");
+        assert!(pair[1].at >= pair[0].at + LOAD_INTERVAL, "two loads within the interval: {pair:?}");
         assert!(pair[1].fence > pair[0].fence, "a fence that does not rise: {pair:?}");
     }
 }
--- a/crates/rudder-core/tests/recall.rs
+++ b/crates/rudder-core/tests/recall.rs
@@ -1,16 +1,16 @@
 //! A request stopped for a higher tier: what its caller is told if it never goes on.
 
-mod alone;
+mod single;
 
 use std::time::Duration;
 
-use alone::{Alone, engine};
 use rudder_core::{Arrival, Ended, Event, Verdict};
 use rudder_model::{Class, Endpoint, Object, Organisation, Ran, RequestId, Selector, id};
+use single::{SingleInstance, engine};
 
 /// A leader with one engine of one slot and two classes.
-fn narrow() -> Alone {
-    let mut alone = Alone::new();
+fn narrow() -> SingleInstance {
+    let mut alone = SingleInstance::new();
     let patience = Duration::from_secs(5);
     let keys = vec![id::hex(&id::digest(b"key"))];
     alone.put("top", Object::Class(Class { tier: 0, patience, ..Class::default() }));
@@ -22,7 +22,7 @@
     alone
 }
 
-fn call(alone: &mut Alone, count: u64, class: &str) -> RequestId {
+fn call(alone: &mut SingleInstance, count: u64, class: &str) -> RequestId {
     let request = id::request_id(1, count);
     let arrival = Arrival {
         request,
@@ -38,7 +38,7 @@
     request
 }
 
-fn last(alone: &Alone, of: RequestId) -> Option<&Verdict> {
+fn last(alone: &SingleInstance, of: RequestId) -> Option<&Verdict> {
     alone.verdicts.iter().rev().find(|(request, _)| *request == of).map(|(_, verdict)| verdict)
 }
 
--- a/crates/rudder-core/tests/alone/mod.rs
+++ b/crates/rudder-core/tests/single/mod.rs
@@ -8,7 +8,7 @@
 use rudder_model::{Endpoint, Object, RequestId};
 use rudder_replica::Durable;
 
-pub const LOADS: Duration = Duration::from_secs(2);
+pub const LOAD_INTERVAL: Duration = Duration::from_secs(2);
 
 /// An order with the time at which it was given.
 #[derive(Debug)]
@@ -18,7 +18,7 @@
     pub until: Duration,
 }
 
-pub struct Alone {
+pub struct SingleInstance {
     pub state: State,
     pub now: Duration,
     pub verdicts: Vec<(RequestId, Verdict)>,
@@ -29,23 +29,29 @@
     pub loaded: &'static str,
 }
 
-impl Alone {
+impl SingleInstance {
     /// An instance that leads.
-    pub fn new() -> Alone {
+    pub fn new() -> SingleInstance {
         let me =
             Me { name: "a".into(), hall: "h".into(), start: 1, address: Some("a".to_owned()), epoch: Duration::ZERO };
         let options = Options {
             seeds: vec!["a".into()],
             founders: vec!["a".into()],
             nearest: vec!["h".into()],
-            load_interval: LOADS,
+            load_interval: LOAD_INTERVAL,
             replica: rudder_replica::Options { voters: 1, ..Default::default() },
             ..Options::default()
         };
         let now = Duration::from_secs(1);
         let state = State::new(now, me, options, Some((1, Durable::default())));
-        let mut alone =
-            Alone { state, now, verdicts: Vec::new(), orders: Vec::new(), led: Duration::ZERO, loaded: "m:v1" };
+        let mut alone = SingleInstance {
+            state,
+            now,
+            verdicts: Vec::new(),
+            orders: Vec::new(),
+            led: Duration::ZERO,
+            loaded: "m:v1",
+        };
         while alone.led.is_zero() {
             alone.tick();
         }
