--- a/crates/rudder-core/tests/duties.rs
+++ b/crates/rudder-core/tests/duties.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use mesh::{
-    Layout, Mesh, Sabotage,
-    receiver::{HANDOVER, Mood},
+    Defect, Layout, Mesh,
+    receiver::{HANDOVER, ReceiverMode},
 };
 use rudder_core::{
     DutyCall, Event,
@@ -39,7 +39,7 @@
     while mesh.now < end {
         let number = count as usize * 7 % TOTAL;
         if mesh.nodes[number].state.is_some() && !mesh.nodes[number].paused {
-            mesh.begin(number, ORG);
+            mesh.begin_request(number, ORG);
             count += 1;
         }
         mesh.run(Duration::from_millis(20));
@@ -58,15 +58,15 @@
 
 #[track_caller]
 fn check(mesh: &Mesh, begun: u64) {
-    assert_eq!(mesh.receiver.broken, Vec::<String>::new());
+    assert_eq!(mesh.receiver.violations, Vec::<String>::new());
     assert_eq!(mesh.receiver.reported(ORG), begun);
 }
 
-/// Serves while the receiver is in a mood, after which it answers again.
-fn serve_under(mesh: &mut Mesh, mood: Mood, time: Duration) -> u64 {
-    mesh.receiver.mood = mood;
+/// Serves while the receiver is in a mode, after which it answers again.
+fn serve_under(mesh: &mut Mesh, mode: ReceiverMode, time: Duration) -> u64 {
+    mesh.receiver.mode = mode;
     let begun = serve(mesh, time);
-    mesh.receiver.mood = Mood::Answers;
+    mesh.receiver.mode = ReceiverMode::Answers;
     begun
 }
 
@@ -140,16 +140,16 @@
         mesh.run(Duration::from_secs(1));
         0
     };
-    answers_of_the_receiver_are_lost: |mesh| serve_under(mesh, Mood::Mute, Duration::from_secs(11));
-    the_receiver_is_down: |mesh| serve_under(mesh, Mood::Down, Duration::from_secs(11));
-    the_receiver_is_busy: |mesh| serve_under(mesh, Mood::Busy, Duration::from_secs(6));
+    answers_of_the_receiver_are_lost: |mesh| serve_under(mesh, ReceiverMode::Mute, Duration::from_secs(11));
+    the_receiver_is_down: |mesh| serve_under(mesh, ReceiverMode::Down, Duration::from_secs(11));
+    the_receiver_is_busy: |mesh| serve_under(mesh, ReceiverMode::Busy, Duration::from_secs(6));
     calls_are_carried_out_late_while_the_holder_changes: |mesh| {
-        mesh.receiver.mood = Mood::Late;
+        mesh.receiver.mode = ReceiverMode::Late;
         let mut begun = serve(mesh, Duration::from_secs(6));
         let number = leader(mesh);
         mesh.nodes[number].paused = true;
         begun += serve(mesh, Duration::from_secs(5));
-        mesh.receiver.mood = Mood::Answers;
+        mesh.receiver.mode = ReceiverMode::Answers;
         mesh.wake(number);
         begun
     };
@@ -162,10 +162,10 @@
     clocks_step: |mesh| {
         let origin = Duration::from_secs(1_000_000);
         for number in [leader(mesh), 6, 9] {
-            mesh.tell(number, Event::ClockStepped(origin + Duration::from_secs(3)));
+            mesh.send_event(number, Event::ClockStepped(origin + Duration::from_secs(3)));
         }
         let begun = serve(mesh, Duration::from_secs(6));
-        mesh.tell(0, Event::ClockStepped(origin.saturating_sub(Duration::from_secs(3))));
+        mesh.send_event(0, Event::ClockStepped(origin.saturating_sub(Duration::from_secs(3))));
         begun
     };
 }
@@ -176,7 +176,7 @@
     let mut mesh = start();
     let origin = Duration::from_secs(1_000_000);
     for number in [leader(&mesh), 7] {
-        mesh.tell(number, Event::ClockStepped(origin + Duration::from_secs(2)));
+        mesh.send_event(number, Event::ClockStepped(origin + Duration::from_secs(2)));
     }
     mesh.run(Duration::from_secs(2));
     // 100 requests within one window of 5 s, none within half a second of its edges.
@@ -185,7 +185,7 @@
     mesh.run(length.saturating_sub(into) + Duration::from_millis(500));
     let window = (origin + mesh.now).as_secs() / 5;
     for count in 0..100 {
-        mesh.begin(count % TOTAL, ORG);
+        mesh.begin_request(count % TOTAL, ORG);
         mesh.run(Duration::from_millis(40));
     }
     settle(&mut mesh);
@@ -198,10 +198,10 @@
 fn a_window_waits_for_an_instance_that_was_cut_off() {
     let mut mesh = start();
     let number = (0..TOTAL).find(|number| *number >= DISKS).expect("one without a disk");
-    mesh.begin(number, ORG);
+    mesh.begin_request(number, ORG);
     mesh.run(Duration::from_secs(1));
     mesh.nodes[number].cut = true;
-    mesh.begin(number, ORG);
+    mesh.begin_request(number, ORG);
     mesh.run(Duration::from_secs(5));
     mesh.nodes[number].cut = false;
     settle(&mut mesh);
@@ -213,11 +213,11 @@
 fn a_window_is_reported_in_time_without_an_instance_that_is_lost() {
     let mut mesh = start();
     let number = DISKS + 1;
-    mesh.begin(number, ORG);
+    mesh.begin_request(number, ORG);
     mesh.run(Duration::from_secs(1));
     mesh.kill(number);
     settle(&mut mesh);
-    let first = mesh.receiver.made.first().expect("a report");
+    let first = mesh.receiver.calls.first().expect("a report");
     let DutyCall::Usage { window, .. } = first.call else { panic!("{first:?}") };
     let due = Duration::from_secs((window + 1) * 5 + 10).saturating_sub(Duration::from_secs(1_000_000));
     assert!(first.at < due, "reported at {:?}, due at {due:?}", first.at);
@@ -229,8 +229,8 @@
 fn a_holder_that_does_not_look_at_its_lease_is_found() {
     let found = (0..40).any(|round| {
         let mut mesh = start();
-        mesh.sabotage = Sabotage::Unleased;
-        mesh.receiver.mood = Mood::Mute;
+        mesh.defect = Defect::CallsWithoutLease;
+        mesh.receiver.mode = ReceiverMode::Mute;
         for _ in 0..4 {
             serve(&mut mesh, Duration::from_millis(3000 + round * 50));
             let number = leader(&mesh);
@@ -238,8 +238,8 @@
             serve(&mut mesh, Duration::from_secs(5));
             mesh.wake(number);
         }
-        let old = |made: &[mesh::receiver::Made]| made.windows(2).any(|pair| pair[1].by != pair[0].by);
-        assert!(old(&mesh.receiver.made), "the holder changes");
+        let old = |made: &[mesh::receiver::ReceivedCall]| made.windows(2).any(|pair| pair[1].by != pair[0].by);
+        assert!(old(&mesh.receiver.calls), "the holder changes");
         mesh.receiver.stale > 0
     });
     assert!(found);
@@ -261,7 +261,7 @@
         (0..3).map(|at| HallEngines { hall: hall(at), on_demand: full[at], spot: cheap[at], spot_unavailable: false });
     let state = ServiceState { service: "svc".into(), bounds, demand, halls: halls.collect() };
     if let Some(number) = mesh.leader() {
-        mesh.tell(number, Event::Services(vec![state]));
+        mesh.send_event(number, Event::Services(vec![state]));
     }
 }
 
@@ -284,7 +284,7 @@
 }
 
 fn scale_calls(mesh: &Mesh) -> usize {
-    mesh.receiver.made.iter().filter(|made| matches!(made.call, DutyCall::Scale { .. })).count()
+    mesh.receiver.calls.iter().filter(|made| matches!(made.call, DutyCall::Scale { .. })).count()
 }
 
 #[test]
@@ -297,14 +297,14 @@
     assert_eq!((ordered(&mesh, false), ordered(&mesh, true)), (vec![Some(0); 3], vec![Some(30); 3]));
     describe_for(&mut mesh, 60, [0; 3], [30; 3]);
     assert_eq!(scale_calls(&mesh), 12, "nothing is ordered again without need");
-    assert_eq!(mesh.receiver.broken, Vec::<String>::new());
+    assert_eq!(mesh.receiver.violations, Vec::<String>::new());
 }
 
 /// Both kinds share a hall's bound: an order for cheap ones that comes before the others were let go finds no room.
 #[test]
 fn orders_of_a_hall_do_not_overtake_each_other() {
     let mut mesh = start();
-    mesh.unordered = true;
+    mesh.reorder_calls = true;
     describe_for(&mut mesh, 5, FIRST, [0; 3]);
     describe_for(&mut mesh, 3, FIRST, [20; 3]);
     assert_eq!((ordered(&mesh, false), ordered(&mesh, true)), (vec![Some(0); 3], vec![Some(30); 3]));
@@ -324,12 +324,12 @@
 fn a_new_holder_orders_everything_anew_with_higher_fences() {
     let mut mesh = start();
     describe_for(&mut mesh, 5, [0; 3], [30; 3]);
-    let before = mesh.receiver.made.last().expect("orders").clone();
+    let before = mesh.receiver.calls.last().expect("orders").clone();
     let number = leader(&mesh);
     mesh.kill(number);
     mesh.run(Duration::from_secs(2));
     describe_for(&mut mesh, 8, [0; 3], [30; 3]);
-    let later: Vec<_> = mesh.receiver.made.iter().filter(|made| made.by != before.by).collect();
+    let later: Vec<_> = mesh.receiver.calls.iter().filter(|made| made.by != before.by).collect();
     assert_eq!(later.len(), 6);
     assert!(later.iter().all(|made| made.fence > before.fence && made.at >= before.at + HANDOVER));
 }
@@ -370,9 +370,9 @@
 #[test]
 fn late_orders_do_not_undo_newer_ones() {
     let mut mesh = start();
-    mesh.receiver.mood = Mood::Late;
+    mesh.receiver.mode = ReceiverMode::Late;
     describe_for(&mut mesh, 6, FIRST, [0; 3]);
-    mesh.receiver.mood = Mood::Answers;
+    mesh.receiver.mode = ReceiverMode::Answers;
     describe_for(&mut mesh, 8, [0; 3], [30; 3]);
     mesh.receiver.carry_out_late(mesh.now);
     assert_eq!((ordered(&mesh, false), ordered(&mesh, true)), (vec![Some(0); 3], vec![Some(30); 3]));
@@ -394,9 +394,9 @@
     mesh.run(Duration::from_millis(300));
     mesh.boot(founder);
     describe_for(&mut mesh, 9, FIRST, [0; 3]);
-    let later = mesh.receiver.made.iter().find(|made| made.at > killed).expect("orders").at;
+    let later = mesh.receiver.calls.iter().find(|made| made.at > killed).expect("orders").at;
     assert!(later >= killed + HANDOVER, "{later:?}");
-    assert_eq!(mesh.receiver.broken, Vec::<String>::new());
+    assert_eq!(mesh.receiver.violations, Vec::<String>::new());
 }
 
 /// A leader whose lease lapses for a moment keeps its term; its fences must go on from where they were.
--- a/crates/rudder-core/tests/evacuation.rs
+++ b/crates/rudder-core/tests/evacuation.rs
@@ -11,7 +11,7 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 fn order(mesh: &mut Mesh, number: usize, ticket: u64, begins: bool) {
-    mesh.tell(number, Event::Evacuate { ticket, hall: HALL.into(), begins });
+    mesh.send_event(number, Event::Evacuate { ticket, hall: HALL.into(), begins });
 }
 
 /// Instances that run and do not hold the hall for `evacuated`.
--- a/crates/rudder-core/tests/fleet.rs
+++ b/crates/rudder-core/tests/fleet.rs
@@ -9,8 +9,8 @@
 use std::{collections::BTreeMap, fmt::Write as _, time::Duration};
 
 use mesh::{
-    Layout, Mesh, Sabotage,
-    receiver::{HANDOVER, Mood},
+    Defect, Layout, Mesh,
+    receiver::{HANDOVER, ReceiverMode},
 };
 use rand::{Rng, RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg32;
@@ -62,7 +62,7 @@
     /// The clock of an instance steps by two seconds, and back later.
     Step(usize),
     /// The receiver of duties answers otherwise for a while.
-    Receiver(Mood),
+    Receiver(ReceiverMode),
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -93,7 +93,7 @@
         10..14 => What::Put(any),
         14..17 => What::Leave(any),
         17 => What::Step(target),
-        _ => What::Receiver([Mood::Mute, Mood::Busy, Mood::Down][rng.random_range(0..3)]),
+        _ => What::Receiver([ReceiverMode::Mute, ReceiverMode::Busy, ReceiverMode::Down][rng.random_range(0..3)]),
     };
     let at = rng.random_range(Duration::ZERO..SPAN);
     Step { at, lasts: rng.random_range(Duration::from_millis(200)..Duration::from_secs(4)), what }
@@ -169,7 +169,7 @@
             let node = &self.mesh.nodes[number];
             if node.state.is_some() && !node.paused {
                 self.begun += 1;
-                self.mesh.begin(number, ORG);
+                self.mesh.begin_request(number, ORG);
             }
         }
     }
@@ -183,8 +183,8 @@
             What::KillHall(hall) => self.kill_hall(hall),
             What::KillAll => (0..TOTAL).for_each(|number| self.mesh.kill(number)),
             What::Rough => (self.mesh.loss, self.mesh.delay) = (0.05, Duration::from_millis(150)),
-            What::Step(number) => self.mesh.tell(number, Event::ClockStepped(ORIGIN + Duration::from_secs(2))),
-            What::Receiver(mood) => self.mesh.receiver.mood = mood,
+            What::Step(number) => self.mesh.send_event(number, Event::ClockStepped(ORIGIN + Duration::from_secs(2))),
+            What::Receiver(mode) => self.mesh.receiver.mode = mode,
             What::Put(number) => return self.put(number),
             What::Leave(number) => return self.leave(number),
             What::Kill(_) | What::Pause(_) | What::Cut(_) => return,
@@ -235,8 +235,8 @@
             What::Pause(number) => self.mesh.wake(number),
             What::Cut(number) => self.mesh.nodes[number].cut = false,
             What::Rough => (self.mesh.loss, self.mesh.delay) = (0.0, Duration::ZERO),
-            What::Step(number) => self.mesh.tell(number, Event::ClockStepped(ORIGIN)),
-            What::Receiver(_) => self.mesh.receiver.mood = Mood::Answers,
+            What::Step(number) => self.mesh.send_event(number, Event::ClockStepped(ORIGIN)),
+            What::Receiver(_) => self.mesh.receiver.mode = ReceiverMode::Answers,
             _ => {}
         }
         let down = |number: &usize| self.mesh.nodes[*number].state.is_none();
@@ -263,7 +263,7 @@
     /// No report changes, no fence has two holders, and nobody calls on a lease that has ended.
     fn check_duties(&self) -> Result<(), String> {
         let receiver = &self.mesh.receiver;
-        if let Some(broken) = receiver.broken.first() {
+        if let Some(broken) = receiver.violations.first() {
             return Err(broken.clone());
         }
         if receiver.stale > 0 {
@@ -359,9 +359,9 @@
     }
 }
 
-fn play(seed: u64, steps: &[Step], sabotage: Sabotage) -> Result<(), String> {
+fn play(seed: u64, steps: &[Step], sabotage: Defect) -> Result<(), String> {
     let mut fleet = Fleet::start(seed);
-    fleet.mesh.sabotage = sabotage;
+    fleet.mesh.defect = sabotage;
     fleet.play(steps)
 }
 
@@ -371,7 +371,7 @@
     while at < steps.len() {
         let mut fewer = steps.clone();
         fewer.remove(at);
-        if play(seed, &fewer, Sabotage::None).is_err() {
+        if play(seed, &fewer, Defect::None).is_err() {
             steps = fewer;
         } else {
             at += 1;
@@ -389,7 +389,7 @@
     let (first, count) = (setting("RUDDER_SEED", 1), setting("RUDDER_TESTS", 6));
     for seed in first..first + count {
         let steps = draw_schedule(seed);
-        let Err(broken) = play(seed, &steps, Sabotage::None) else { continue };
+        let Err(broken) = play(seed, &steps, Defect::None) else { continue };
         let mut text = format!("seed {seed}: {broken}\n");
         for step in shorten(seed, steps) {
             let _ = writeln!(text, "{step:?}");
@@ -411,6 +411,6 @@
 }
 
 caught! {
-    relays_that_claim_new_proof_are_caught: Sabotage::YoungRelays;
-    requests_that_are_counted_twice_are_caught: Sabotage::CountTwice;
+    relays_that_claim_new_proof_are_caught: Defect::FreshRelayProofs;
+    requests_that_are_counted_twice_are_caught: Defect::DoubleCounts;
 }
--- a/crates/rudder-core/tests/large.rs
+++ b/crates/rudder-core/tests/large.rs
@@ -138,7 +138,7 @@
     let tag = id::endpoint_tag("e-1");
     for (count, number) in [relays[0], askers[0], askers[100], askers[200]].into_iter().enumerate() {
         let calls = 1 << count;
-        mesh.tell(number, Event::Loads(vec![Load { calls, unread: 100, ..Load::none(tag) }]));
+        mesh.send_event(number, Event::Loads(vec![Load { calls, unread: 100, ..Load::none(tag) }]));
     }
     mesh.run(Duration::from_secs(3));
     let calls = |mesh: &Mesh, number: usize| -> u32 {
@@ -180,7 +180,7 @@
     mesh.kill(asker);
     mesh.boot(asker);
     let began = mesh.now;
-    mesh.tell(asker, Event::Tick);
+    mesh.send_event(asker, Event::Tick);
     let from = mesh.nodes[relay].name.clone();
     let late = began + Duration::from_secs(1);
     let state = mesh.nodes[asker].state.as_mut().expect("it runs");
@@ -235,7 +235,7 @@
         let mut mesh = Mesh::start(9, 3);
         mesh.run(Duration::from_secs(3));
         let load = |endpoint: u32, calls: u32| Load { calls, ..Load::none(endpoint) };
-        mesh.tell(5, Event::Loads((0..endpoints).map(|endpoint| load(endpoint, 3)).collect()));
+        mesh.send_event(5, Event::Loads((0..endpoints).map(|endpoint| load(endpoint, 3)).collect()));
         mesh.run(Duration::from_secs(3));
         let leader = mesh.leader().expect("one leads");
         let before = mesh.sent_by(leader, "watched").bytes;
--- a/crates/rudder-core/tests/limits.rs
+++ b/crates/rudder-core/tests/limits.rs
@@ -44,7 +44,7 @@
     mesh.run(SECOND * 3);
     mesh.heartbeat(0, 1, "e-1", Phase::Ready, 1);
     mesh.run(SECOND);
-    mesh.tell(total - 1, Event::Limit(report(Some(LIMIT))));
+    mesh.send_event(total - 1, Event::Limit(report(Some(LIMIT))));
     mesh.run(SPREAD);
     mesh
 }
@@ -86,7 +86,7 @@
         self.tickets += 1;
         self.asked.push((self.tickets, number));
         let request = PermitRequest { limit: report(Some(LIMIT)), hall: "hall-0".into(), tier: 0, wanted: 1 };
-        self.mesh.tell(number, Event::AskPermit { ticket: self.tickets, request });
+        self.mesh.send_event(number, Event::AskPermit { ticket: self.tickets, request });
     }
 
     fn take_answers(&mut self) {
@@ -230,11 +230,11 @@
 spreads! {
     what_one_of_nine_was_told_all_learn: 9, |_| {} => Some(LIMIT);
     what_one_of_a_hundred_and_twenty_was_told_all_learn: 120, |_| {} => Some(LIMIT);
-    the_latest_limit_replaces_the_one_before: 60, |mesh| mesh.tell(3, Event::Limit(report(Some(0.5)))) => Some(0.5);
-    that_a_limit_ended_all_learn: 60, |mesh| mesh.tell(3, Event::Limit(report(None))) => None;
+    the_latest_limit_replaces_the_one_before: 60, |mesh| mesh.send_event(3, Event::Limit(report(Some(0.5)))) => Some(0.5);
+    that_a_limit_ended_all_learn: 60, |mesh| mesh.send_event(3, Event::Limit(report(None))) => None;
     /// It was said before the limit was named, and came late.
     an_earlier_word_changes_nothing: 9, |mesh| {
-        mesh.tell(3, Event::Limit(LimitReport { age_ms: 60_000, ..report(None) }));
+        mesh.send_event(3, Event::Limit(LimitReport { age_ms: 60_000, ..report(None) }));
     } => Some(LIMIT);
     an_instance_that_starts_later_learns_it: 60, |mesh| {
         mesh.kill(30);
--- a/crates/rudder-core/tests/mesh/mod.rs
+++ b/crates/rudder-core/tests/mesh/mod.rs
@@ -72,15 +72,15 @@
 
 /// What is broken on purpose, to show that the checks bite.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sabotage {
+pub enum Defect {
     /// Nothing.
     None,
     /// Relays claim that their proof is new.
-    YoungRelays,
+    FreshRelayProofs,
     /// Instances make their calls whether or not they hold the lease.
-    Unleased,
+    CallsWithoutLease,
     /// Instances tell each request that begins twice.
-    CountTwice,
+    DoubleCounts,
 }
 
 /// What a mesh is made of.
@@ -131,9 +131,9 @@
     /// Who takes the calls of duties.
     pub receiver: Receiver,
     /// Orders of engines at full price take 20 ms longer, so that others overtake them.
-    pub unordered: bool,
+    pub reorder_calls: bool,
     /// What is broken on purpose.
-    pub sabotage: Sabotage,
+    pub defect: Defect,
     rng: Pcg32,
     layout: Layout,
     queue: BTreeMap<(Duration, u64), Delivery>,
@@ -245,8 +245,8 @@
             delay: Duration::ZERO,
             unreported: 0,
             receiver: Receiver::default(),
-            unordered: false,
-            sabotage: Sabotage::None,
+            reorder_calls: false,
+            defect: Defect::None,
             rng: Pcg32::seed_from_u64(1),
             layout,
             queue: BTreeMap::new(),
@@ -316,12 +316,12 @@
     pub fn wake(&mut self, number: usize) {
         self.nodes[number].paused = false;
         for event in std::mem::take(&mut self.nodes[number].held) {
-            self.tell(number, event);
+            self.send_event(number, event);
         }
     }
 
     /// Gives an event to an instance.
-    pub fn tell(&mut self, number: usize, event: Event) {
+    pub fn send_event(&mut self, number: usize, event: Event) {
         if self.nodes[number].paused {
             if !matches!(event, Event::Tick) {
                 self.nodes[number].held.push(event);
@@ -337,10 +337,10 @@
     }
 
     /// A request of `org` begins to run now, sent by an instance.
-    pub fn begin(&mut self, number: usize, org: &str) {
-        let count = if self.sabotage == Sabotage::CountTwice { 2 } else { 1 };
+    pub fn begin_request(&mut self, number: usize, org: &str) {
+        let count = if self.defect == Defect::DoubleCounts { 2 } else { 1 };
         let begun = StartedRequest { org: org.into(), at: self.now };
-        self.tell(number, Event::RequestsStarted(vec![begun; count]));
+        self.send_event(number, Event::RequestsStarted(vec![begun; count]));
     }
 
     /// True where an instance may write a call of its duty now.
@@ -368,7 +368,7 @@
             if self.now == next_tick {
                 self.ticked = next_tick;
                 for number in 0..self.nodes.len() {
-                    self.tell(number, Event::Tick);
+                    self.send_event(number, Event::Tick);
                 }
             }
         }
@@ -377,7 +377,7 @@
     /// Sends a document to an instance.
     pub fn put(&mut self, number: usize, ticket: u64, version: u64, body: &str) {
         let document = Document::new(version, body.as_bytes().to_vec());
-        self.tell(number, Event::PutDocument { ticket, document });
+        self.send_event(number, Event::PutDocument { ticket, document });
     }
 
     /// Version of the document in force at an instance.
@@ -425,7 +425,7 @@
     ) {
         let registration =
             Registration { phase, sequence, address: address.into(), ..registration(endpoint, "hall-0") };
-        self.tell(number, Event::Register { ticket, registration });
+        self.send_event(number, Event::Register { ticket, registration });
     }
 
     /// A heartbeat of the life of endpoint "e-1" that began at `born`, at an address of its own, at an instance.
@@ -433,7 +433,7 @@
         let life = id::life_id("e-1", Some(born));
         let address = format!("at-{born}").into();
         let registration = Registration { born: Some(born), address, phase, sequence, ..registration(&life, "hall-0") };
-        self.tell(number, Event::Register { ticket: 900 + sequence, registration });
+        self.send_event(number, Event::Register { ticket: 900 + sequence, registration });
     }
 
     /// What an instance sent of one kind of message.
@@ -487,7 +487,7 @@
             }
             Effect::Call { ticket, fence, call, .. } => {
                 let starts = self.nodes[number].starts;
-                let slow = self.unordered && matches!(call, DutyCall::Scale { cheap: false, .. });
+                let slow = self.reorder_calls && matches!(call, DutyCall::Scale { cheap: false, .. });
                 let after = if slow { LINK + Duration::from_millis(20) } else { LINK };
                 self.schedule(after, Delivery::Call(number, starts, ticket, fence, Box::new(call)));
             }
@@ -501,7 +501,7 @@
 
     fn tamper(&self, message: PeerMessage) -> PeerMessage {
         match message {
-            PeerMessage::Watched(watched) if self.sabotage == Sabotage::YoungRelays => {
+            PeerMessage::Watched(watched) if self.defect == Defect::FreshRelayProofs => {
                 PeerMessage::Watched(Box::new(Watched { age: Duration::ZERO, ..*watched }))
             }
             message => message,
@@ -521,7 +521,7 @@
             Delivery::Message(target, starts, from, message) => {
                 let node = &self.nodes[target];
                 if node.starts == starts && !node.cut {
-                    self.tell(target, Event::Peer { from, message: *message });
+                    self.send_event(target, Event::Peer { from, message: *message });
                 }
             }
             Delivery::Saved(number, starts, save) => self.finish_saves(number, starts, save),
@@ -540,13 +540,13 @@
             self.schedule(TICK, Delivery::Call(number, starts, ticket, fence, Box::new(call)));
             return;
         }
-        let outcome = if self.sabotage == Sabotage::Unleased || self.may_call(number) {
+        let outcome = if self.defect == Defect::CallsWithoutLease || self.may_call(number) {
             let reached = !node.cut;
             self.receiver.take(self.now, number, fence, call, reached)
         } else {
             CallOutcome::Lapsed
         };
-        self.tell(number, Event::CallEnded { ticket, outcome });
+        self.send_event(number, Event::CallEnded { ticket, outcome });
     }
 
     fn finish_saves(&mut self, number: usize, starts: u64, save: u64) {
@@ -561,7 +561,7 @@
                 write(durable, pending);
             }
         }
-        self.tell(number, Event::Saved { number: save });
+        self.send_event(number, Event::Saved { number: save });
     }
 }
 
--- a/crates/rudder-core/tests/mesh/receiver.rs
+++ b/crates/rudder-core/tests/mesh/receiver.rs
@@ -18,7 +18,7 @@
 
 /// How it answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Mood {
+pub enum ReceiverMode {
     /// At once.
     #[default]
     Answers,
@@ -34,7 +34,7 @@
 
 /// A call that was carried out.
 #[derive(Clone, Debug)]
-pub struct Made {
+pub struct ReceivedCall {
     /// When it came.
     pub at: Duration,
     /// By which instance.
@@ -49,9 +49,9 @@
 #[derive(Debug, Default)]
 pub struct Receiver {
     /// How it answers.
-    pub mood: Mood,
+    pub mode: ReceiverMode,
     /// Calls that came, in order, those with a low fence left out.
-    pub made: Vec<Made>,
+    pub calls: Vec<ReceivedCall>,
     /// Reports carried out.
     pub reports: BTreeMap<Window, Counts>,
     /// Engines ordered, by hall and kind: true for those that may be taken away.
@@ -61,9 +61,9 @@
     /// Calls that came with a fence lower than one seen.
     pub stale: u64,
     /// What broke a rule.
-    pub broken: Vec<String>,
+    pub violations: Vec<String>,
     /// Calls to carry out later.
-    late: Vec<(Duration, Made)>,
+    late: Vec<(Duration, ReceivedCall)>,
     /// The highest fence seen, by subject: the reports together, the orders of each hall.
     highest: BTreeMap<Option<HallId>, u64>,
 }
@@ -72,17 +72,17 @@
     /// Records a call that `by` writes.
     pub fn take(&mut self, now: Duration, by: usize, fence: u64, call: DutyCall, reached: bool) -> CallOutcome {
         self.carry_out_late(now);
-        let made = Made { at: now, by, fence, call };
-        match self.mood {
+        let made = ReceivedCall { at: now, by, fence, call };
+        match self.mode {
             _ if !reached => CallOutcome::Unknown,
-            Mood::Down => CallOutcome::Unknown,
-            Mood::Busy => CallOutcome::Busy,
-            Mood::Answers => self.carry_out(made),
-            Mood::Mute => {
+            ReceiverMode::Down => CallOutcome::Unknown,
+            ReceiverMode::Busy => CallOutcome::Busy,
+            ReceiverMode::Answers => self.carry_out(made),
+            ReceiverMode::Mute => {
                 self.carry_out(made);
                 CallOutcome::Unknown
             }
-            Mood::Late => {
+            ReceiverMode::Late => {
                 self.late.push((now + Duration::from_secs(4), made));
                 CallOutcome::Unknown
             }
@@ -98,7 +98,7 @@
         }
     }
 
-    fn carry_out(&mut self, made: Made) -> CallOutcome {
+    fn carry_out(&mut self, made: ReceivedCall) -> CallOutcome {
         let subject = match &made.call {
             DutyCall::Usage { .. } => None,
             DutyCall::Scale { hall, .. } => Some(hall.clone()),
@@ -114,7 +114,7 @@
             DutyCall::Usage { window, counts } => {
                 let held = self.reports.entry(*window).or_insert_with(|| counts.clone());
                 if held != counts {
-                    self.broken.push(format!("window {window} was reported as {held:?} and as {counts:?}"));
+                    self.violations.push(format!("window {window} was reported as {held:?} and as {counts:?}"));
                 }
                 CallOutcome::Taken
             }
@@ -128,19 +128,19 @@
                 CallOutcome::Taken
             }
         };
-        self.made.push(made);
+        self.calls.push(made);
         outcome
     }
 
-    fn judge(&mut self, made: &Made) {
-        if let Some(other) = self.made.iter().find(|held| held.fence == made.fence && held.by != made.by) {
-            self.broken.push(format!("fence {} was used by {} and {}", made.fence, other.by, made.by));
+    fn judge(&mut self, made: &ReceivedCall) {
+        if let Some(other) = self.calls.iter().find(|held| held.fence == made.fence && held.by != made.by) {
+            self.violations.push(format!("fence {} was used by {} and {}", made.fence, other.by, made.by));
         }
-        let recent = || self.made.iter().rev().take_while(|held| made.at < held.at + HANDOVER);
+        let recent = || self.calls.iter().rev().take_while(|held| made.at < held.at + HANDOVER);
         let between = recent().find(|held| held.by != made.by);
         let Some(between) = between else { return };
         if recent().any(|held| held.by == made.by && held.at <= between.at) {
-            self.broken.push(format!("{} and {} acted by turns until {:?}", made.by, between.by, made.at));
+            self.violations.push(format!("{} and {} acted by turns until {:?}", made.by, between.by, made.at));
         }
     }
 
--- a/crates/rudder-core/tests/quarantine.rs
+++ b/crates/rudder-core/tests/quarantine.rs
@@ -14,7 +14,7 @@
 
 fn find(mesh: &mut Mesh, number: usize, endpoint: EndpointTag) {
     let ended = vec![EndedUnder { content: CONTENT, endpoint }];
-    mesh.tell(number, Event::Findings(Findings { ended, ..Findings::default() }));
+    mesh.send_event(number, Event::Findings(Findings { ended, ..Findings::default() }));
 }
 
 /// Instances at which the content is not refused.
--- a/crates/rudder-core/tests/subset.rs
+++ b/crates/rudder-core/tests/subset.rs
@@ -27,7 +27,7 @@
     let running: Vec<usize> = (0..mesh.nodes.len()).filter(|number| mesh.nodes[*number].state.is_some()).collect();
     let at = running[number % running.len()];
     let ticket = sequence * 10_000 + number as u64;
-    mesh.tell(at, Event::Register { ticket, registration: endpoint(number, phase, sequence) });
+    mesh.send_event(at, Event::Register { ticket, registration: endpoint(number, phase, sequence) });
 }
 
 /// Forty instances that have heard of all endpoints.
@@ -127,7 +127,7 @@
     let first = before[&1].first().expect("some are used").clone();
     let number: usize = first.trim_start_matches("e-").parse().expect("a number");
     let at = (leader + 1) % DISKS;
-    mesh.tell(at, Event::Register { ticket: 1, registration: endpoint(number, Phase::Leaving, 9) });
+    mesh.send_event(at, Event::Register { ticket: 1, registration: endpoint(number, Phase::Leaving, 9) });
     // Some still wait for an answer of the lost leader, and turn to their relay after that.
     mesh.run(SECOND * 3 / 2);
     assert!((0..mesh.nodes.len()).filter(|at| *at != leader).all(|at| !used_at(&mesh, at).contains(&first)));
@@ -171,7 +171,7 @@
         ..rudder_core::peer::Load::none(id::endpoint_tag(endpoint))
     };
     let at = (DISKS..40).find(|number| number % HALLS == 0).expect("some are in the hall");
-    mesh.tell(at, Event::Loads(used.iter().map(load).collect()));
+    mesh.send_event(at, Event::Loads(used.iter().map(load).collect()));
     mesh.run(SECOND * 2);
     let after = agreed(&mesh);
     assert_eq!((after[&0].len(), after[&1].len()), (512, 256));
