--- a/crates/rudder-route/src/health.rs
+++ b/crates/rudder-route/src/health.rs
@@ -1,65 +1,67 @@
-//! Slow and failing endpoints: ejection with a ceiling, probes, return.
+//! Outlier detection: ejects slow and failing endpoints up to a share of the pool, probes them and restores them.
 
 use std::time::Duration;
 
 use rudder_model::EndpointId;
 
-use crate::{Decision, Pool, estimate::Mean};
+use crate::{Decision, Pool, endpoint::Running, estimate::MovingAverage};
 
-/// Failures in a row that eject an endpoint.
-const FAILURES: u32 = 2;
-/// Requests overdue at the same time that eject an endpoint.
-const OVERDUE: usize = 2;
-/// Samples before an endpoint is compared with the others.
-const SAMPLES: u32 = 2;
-/// A first token is never overdue before this long.
-const PATIENCE: Duration = Duration::from_millis(500);
-/// Largest exponent of the pause between probes.
-const BACKOFF: u32 = 3;
+/// Consecutive failures that eject an endpoint.
+const EJECTION_FAILURES: u32 = 2;
+/// Concurrently overdue requests that eject an endpoint.
+const EJECTION_OVERDUE: usize = 2;
+/// Samples needed before an endpoint is compared with the others.
+const MIN_SAMPLES: u32 = 2;
+/// A first token is never overdue before this time.
+const MIN_FIRST_TOKEN_TIMEOUT: Duration = Duration::from_millis(500);
+/// Largest exponent of the exponential ejection time.
+const MAX_BACKOFF_EXPONENT: u32 = 3;
 
-/// What is known of one endpoint's speed and failures.
+/// Latencies, failures and ejections of one endpoint.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Health {
-    pub(crate) first: Mean,
-    pub(crate) pace: Mean,
+    /// Time to the first token, in seconds.
+    pub(crate) first_token: MovingAverage,
+    /// Time between tokens, in seconds.
+    pub(crate) token_interval: MovingAverage,
     samples: u32,
-    failures: u32,
+    consecutive_failures: u32,
     ejections: u32,
-    /// Ejected until then; afterwards on probation.
-    until: Option<Duration>,
+    /// End of the ejection; after it, the endpoint gets one probe at a time until it is restored.
+    ejected_until: Option<Duration>,
     pub(crate) probing: bool,
-    /// No connection could be made, or a look at its load went unanswered, since it was last ejected.
+    /// A connection failed since the last ejection.
     pub(crate) unreachable: bool,
 }
 
 impl Health {
-    /// May take ordinary work.
-    pub(crate) fn is_well(&self) -> bool {
-        self.until.is_none()
+    /// True if the endpoint is not ejected.
+    pub(crate) fn is_healthy(&self) -> bool {
+        self.ejected_until.is_none()
     }
 
-    /// May take one probe.
-    pub(crate) fn wants_probe(&self, now: Duration) -> bool {
-        self.until.is_some_and(|until| now >= until) && !self.probing
+    /// True if the ejection time is over and no probe is in flight.
+    pub(crate) fn is_probe_due(&self, now: Duration) -> bool {
+        self.ejected_until.is_some_and(|until| now >= until) && !self.probing
     }
 
-    pub(crate) fn note_first(&mut self, first: Duration) {
-        self.first.add(first.as_secs_f64());
+    pub(crate) fn note_first_token(&mut self, latency: Duration) {
+        self.first_token.add(latency.as_secs_f64());
         self.samples = self.samples.saturating_add(1);
     }
 
     pub(crate) fn note_failure(&mut self) {
-        self.failures += 1;
+        self.consecutive_failures += 1;
     }
 
     pub(crate) fn note_success(&mut self) {
-        self.failures = 0;
+        self.consecutive_failures = 0;
     }
 
-    fn eject(&mut self, now: Duration, pause: Duration) -> Duration {
-        let pause = pause * 2_u32.pow(self.ejections.min(BACKOFF));
+    fn eject(&mut self, now: Duration, base: Duration) -> Duration {
+        let pause = base * 2_u32.pow(self.ejections.min(MAX_BACKOFF_EXPONENT));
         self.ejections += 1;
-        self.until = Some(now + pause);
+        self.ejected_until = Some(now + pause);
         self.probing = false;
         self.unreachable = false;
         pause
@@ -71,98 +73,113 @@
 }
 
 impl Pool {
-    /// Ejects what is slow, failing or hanging, as far as the ceiling allows.
+    /// Ejects endpoints that are slow, failing or hanging, as far as the largest ejected share allows.
     pub(crate) fn check_health(&mut self, now: Duration, out: &mut Vec<Decision>) {
         if !self.options.eject {
             return;
         }
         self.restore_services(now, out);
-        let (first, pace) = (self.median(|health| &health.first), self.median(|health| &health.pace));
+        let first_token = self.median(|health| &health.first_token);
+        let token_interval = self.median(|health| &health.token_interval);
         let suspects: Vec<(EndpointId, &'static str)> = self
-            .sites
+            .endpoints
             .iter()
-            .filter(|(_, site)| site.health.is_well() || site.health.probing)
-            .filter_map(|(id, _)| self.fault_of(now, id, first, pace).map(|why| (id.clone(), why)))
+            .filter(|(_, state)| state.health.is_healthy() || state.health.probing)
+            .filter_map(|(id, _)| {
+                self.detect_fault(now, id, first_token, token_interval).map(|reason| (id.clone(), reason))
+            })
             .collect();
-        for (id, why) in suspects {
-            self.eject(now, &id, why, out);
+        for (id, reason) in suspects {
+            self.eject(now, &id, reason, out);
         }
     }
 
-    /// Plain services come back after their pause without a probe: most of their calls may not be
-    /// repeated, so none could serve as one.
+    /// Restores plain services after their ejection without a probe: most of their requests must not be repeated, so
+    /// none could serve as one.
     fn restore_services(&mut self, now: Duration, out: &mut Vec<Decision>) {
-        for (id, site) in &mut self.sites {
-            if !site.engine && site.health.wants_probe(now) {
-                site.health.restore();
+        for (id, state) in &mut self.endpoints {
+            if !state.engine && state.health.is_probe_due(now) {
+                state.health.restore();
                 out.push(Decision::Restore { endpoint: id.clone() });
             }
         }
     }
 
     fn eject(&mut self, now: Duration, id: &EndpointId, why: &'static str, out: &mut Vec<Decision>) {
-        let ejected = self.sites.values().filter(|site| !site.health.is_well()).count();
-        let allowed = (self.sites.len() as f64 * self.options.ceiling) as usize;
-        let pause = self.options.pause;
-        let Some(site) = self.sites.get_mut(id) else { return };
-        // The ceiling guards against mistaken suspicion; that no connection can be made is no suspicion.
-        if site.health.is_well() && ejected >= allowed && !site.health.unreachable {
+        let ejected = self.endpoints.values().filter(|state| !state.health.is_healthy()).count();
+        let max_ejected = (self.endpoints.len() as f64 * self.options.max_ejected_share) as usize;
+        let ejection_time = self.options.ejection_time;
+        let Some(state) = self.endpoints.get_mut(id) else { return };
+        // The bound guards against false positives; a failed connection is none.
+        if state.health.is_healthy() && ejected >= max_ejected && !state.health.unreachable {
             return;
         }
-        let pause = site.health.eject(now, pause);
+        let pause = state.health.eject(now, ejection_time);
         out.push(Decision::Eject { endpoint: id.clone(), why, pause });
     }
 
-    /// Puts off the next probe while an ejected endpoint does not even answer a look at its load.
-    pub(crate) fn put_off(&mut self, now: Duration, id: &str) {
-        let pause = self.options.pause;
-        let Some(site) = self.sites.get_mut(id) else { return };
-        site.health.until = site.health.until.map(|until| until.max(now + pause));
+    /// Postpones the next probe of an ejected endpoint that did not answer a poll of its load.
+    pub(crate) fn postpone_probe(&mut self, now: Duration, id: &str) {
+        let ejection_time = self.options.ejection_time;
+        let Some(state) = self.endpoints.get_mut(id) else { return };
+        state.health.ejected_until = state.health.ejected_until.map(|until| until.max(now + ejection_time));
     }
 
-    fn fault_of(&self, now: Duration, id: &EndpointId, first: f64, pace: f64) -> Option<&'static str> {
-        let site = self.sites.get(id)?;
-        if site.health.unreachable && site.health.is_well() {
+    /// Why an endpoint should be ejected, given the pool's median latencies in seconds; `None` if it should not.
+    fn detect_fault(
+        &self,
+        now: Duration,
+        id: &EndpointId,
+        median_first_token: f64,
+        median_token_interval: f64,
+    ) -> Option<&'static str> {
+        let state = self.endpoints.get(id)?;
+        let health = &state.health;
+        if health.unreachable && health.is_healthy() {
             return Some("unreachable");
         }
-        if site.health.failures >= FAILURES || (site.health.probing && site.health.failures > 0) {
+        if health.consecutive_failures >= EJECTION_FAILURES || (health.probing && health.consecutive_failures > 0) {
             return Some("failing");
         }
-        let due = Duration::from_secs_f64(first * self.options.slow * 2.0).max(PATIENCE);
-        let overdue = site.running.values().filter(|running| !running.first && running.since + due < now).count();
-        if overdue >= OVERDUE || (overdue > 0 && site.health.probing) {
+        let timeout = Duration::from_secs_f64(median_first_token * self.options.slow_factor * 2.0);
+        let timeout = timeout.max(MIN_FIRST_TOKEN_TIMEOUT);
+        let is_overdue = |running: &&Running| !running.first_token_seen && running.started + timeout < now;
+        let overdue = state.running.values().filter(is_overdue).count();
+        if overdue >= EJECTION_OVERDUE || (overdue > 0 && health.probing) {
             return Some("no first token");
         }
-        if site.health.samples < SAMPLES {
+        if health.samples < MIN_SAMPLES {
             return None;
         }
-        let slow = |mean: &Mean, median: f64| median > 0.0 && mean.value_or(0.0) > median * self.options.slow;
-        if slow(&site.health.first, first.max(0.01)) {
+        let is_slow = |latency: &MovingAverage, median: f64| {
+            median > 0.0 && latency.value_or(0.0) > median * self.options.slow_factor
+        };
+        if is_slow(&health.first_token, median_first_token.max(0.01)) {
             return Some("slow to the first token");
         }
-        slow(&site.health.pace, pace).then_some("slow between tokens")
+        is_slow(&health.token_interval, median_token_interval).then_some("slow between tokens")
     }
 
-    /// Brings a probed endpoint back.
-    pub(crate) fn end_probe(&mut self, id: &EndpointId, first: Duration, out: &mut Vec<Decision>) {
-        let median = self.median(|health| &health.first);
-        let bound = Duration::from_secs_f64(median.max(0.01) * self.options.slow);
-        let Some(site) = self.sites.get_mut(id) else { return };
-        if !site.health.probing {
+    /// Ends a probe with its time to the first token: restores the endpoint unless it is still slow.
+    pub(crate) fn finish_probe(&mut self, id: &EndpointId, first_token: Duration, out: &mut Vec<Decision>) {
+        let median = self.median(|health| &health.first_token);
+        let bound = Duration::from_secs_f64(median.max(0.01) * self.options.slow_factor);
+        let Some(state) = self.endpoints.get_mut(id) else { return };
+        if !state.health.probing {
             return;
         }
-        if median > 0.0 && first > bound {
-            site.health.note_failure();
+        if median > 0.0 && first_token > bound {
+            state.health.note_failure();
             return;
         }
-        site.health.restore();
+        state.health.restore();
         out.push(Decision::Restore { endpoint: id.clone() });
     }
 
-    /// Median over the endpoints that are well; 0 with fewer than two to compare.
-    fn median(&self, figure: impl Fn(&Health) -> &Mean) -> f64 {
-        let well = self.sites.values().filter(|site| site.health.is_well());
-        let known = well.map(|site| figure(&site.health).value_or(-1.0)).filter(|value| *value > 0.0);
+    /// Median of a latency over the healthy endpoints that have samples; 0 if none has.
+    fn median(&self, latency: impl Fn(&Health) -> &MovingAverage) -> f64 {
+        let healthy = self.endpoints.values().filter(|state| state.health.is_healthy());
+        let known = healthy.map(|state| latency(&state.health).value_or(-1.0)).filter(|value| *value > 0.0);
         let mut values: Vec<f64> = known.collect();
         if values.len() < 2 {
             return values.first().copied().unwrap_or_default();
--- a/crates/rudder-route/src/queue.rs
+++ b/crates/rudder-route/src/queue.rs
@@ -1,4 +1,4 @@
-//! Waiting requests: by class, within a class by organisation, within an organisation by arrival.
+//! Queued requests: by class, within a class by organisation, within an organisation by arrival.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -7,34 +7,37 @@
 
 use rudder_model::{ClassId, EndpointId, OrgId, RequestId};
 
-use crate::ask::SlotRequest;
+use crate::request::SlotRequest;
 
-/// A waiting request.
+/// A queued request.
 #[derive(Clone, Debug)]
 pub(crate) struct Waiting {
-    pub(crate) ask: SlotRequest,
+    pub(crate) request: SlotRequest,
     pub(crate) arrived: Duration,
-    pub(crate) until: Duration,
-    /// From then on its first token comes late.
-    pub(crate) late: Duration,
-    pub(crate) preempted: u8,
+    /// The request is refused if it has no slot by then.
+    pub(crate) deadline: Duration,
+    /// After this time its first token misses the class's target.
+    pub(crate) first_token_deadline: Duration,
+    pub(crate) preemptions: u8,
+    /// Endpoint that failed the request before.
     pub(crate) avoid: Option<EndpointId>,
 }
 
-/// The waiting requests of one class.
+/// The queued requests of one class.
 #[derive(Clone, Debug)]
 pub(crate) struct ClassQueue {
     pub(crate) tier: u8,
     pub(crate) orgs: BTreeMap<OrgId, VecDeque<Waiting>>,
-    /// Work charged to each organisation since the class was last empty, in tokens.
+    /// Tokens charged to each organisation since the class was last empty.
     charged: BTreeMap<OrgId, f64>,
     pub(crate) count: usize,
-    /// Grants to others since this class's last grant or since it began to wait.
-    pub(crate) passed: u32,
-    pub(crate) served: Duration,
+    /// Grants to other classes since this one's last grant, or since it was last empty.
+    pub(crate) passed_over: u32,
+    /// Time of the last grant, or when the class was last empty.
+    pub(crate) last_served: Duration,
 }
 
-/// All waiting requests of a pool.
+/// All queued requests of a pool.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Queue {
     pub(crate) classes: BTreeMap<ClassId, ClassQueue>,
@@ -43,11 +46,11 @@
 
 impl ClassQueue {
     fn new(tier: u8, now: Duration) -> ClassQueue {
-        ClassQueue { tier, orgs: BTreeMap::new(), charged: BTreeMap::new(), count: 0, passed: 0, served: now }
+        ClassQueue { tier, orgs: BTreeMap::new(), charged: BTreeMap::new(), count: 0, passed_over: 0, last_served: now }
     }
 
-    /// Organisations that wait, least charged first.
-    pub(crate) fn to_order(&self) -> Vec<&OrgId> {
+    /// Organisations with queued requests, least charged first.
+    pub(crate) fn orgs_by_charge(&self) -> Vec<&OrgId> {
         let mut orgs: Vec<&OrgId> = self.orgs.keys().collect();
         orgs.sort_by(|a, b| self.charge_of(a).total_cmp(&self.charge_of(b)));
         orgs
@@ -57,19 +60,19 @@
         self.charged.get(org).copied().unwrap_or_default()
     }
 
-    /// Adds work to an organisation's account; corrections may be negative.
+    /// Adds to an organisation's charge; corrections may be negative.
     pub(crate) fn charge(&mut self, org: &OrgId, tokens: f64) {
         *self.charged.entry(org.clone()).or_default() += tokens;
     }
 
-    /// An organisation that begins to wait starts level with the least charged of those that wait
-    /// already, so that time spent idle earns no credit.
-    fn enter(&mut self, org: &OrgId) {
-        let waiting = self.orgs.keys().map(|org| self.charge_of(org));
-        let least = waiting.fold(f64::INFINITY, f64::min);
-        if least.is_finite() {
+    /// Raises the charge of an organisation that starts to queue to the lowest of those already queued, so that idle
+    /// time earns no credit.
+    fn raise_charge(&mut self, org: &OrgId) {
+        let queued = self.orgs.keys().map(|org| self.charge_of(org));
+        let lowest = queued.fold(f64::INFINITY, f64::min);
+        if lowest.is_finite() {
             let charged = self.charged.entry(org.clone()).or_default();
-            *charged = charged.max(least);
+            *charged = charged.max(lowest);
         } else {
             self.charged.clear();
         }
@@ -85,42 +88,42 @@
         self.index.len()
     }
 
-    /// Adds a request; `front` puts it before all others of its organisation.
+    /// Adds a request at the end of its organisation's queue, or with `front` at its head.
     pub(crate) fn push(&mut self, now: Duration, waiting: Waiting, front: bool) {
-        let (class, org) = (waiting.ask.class.clone(), waiting.ask.org.clone());
-        self.index.insert(waiting.ask.id, (class.clone(), org.clone()));
-        let tier = waiting.ask.tier;
+        let (class, org) = (waiting.request.class.clone(), waiting.request.org.clone());
+        self.index.insert(waiting.request.id, (class.clone(), org.clone()));
+        let tier = waiting.request.tier;
         let queue = self.classes.entry(class).or_insert_with(|| ClassQueue::new(tier, now));
         queue.tier = tier;
         if queue.count == 0 {
-            queue.served = now;
-            queue.passed = 0;
+            queue.last_served = now;
+            queue.passed_over = 0;
         }
         if !queue.orgs.contains_key(&org) {
-            queue.enter(&org);
+            queue.raise_charge(&org);
         }
         queue.count += 1;
-        let line = queue.orgs.entry(org).or_default();
+        let org_queue = queue.orgs.entry(org).or_default();
         if front {
-            line.push_front(waiting);
+            org_queue.push_front(waiting);
         } else {
-            line.push_back(waiting);
+            org_queue.push_back(waiting);
         }
     }
 
-    pub(crate) fn get(&self, request: RequestId) -> Option<&Waiting> {
-        let (class, org) = self.index.get(&request)?;
-        let line = self.classes.get(class)?.orgs.get(org)?;
-        line.iter().find(|waiting| waiting.ask.id == request)
+    pub(crate) fn get(&self, id: RequestId) -> Option<&Waiting> {
+        let (class, org) = self.index.get(&id)?;
+        let org_queue = self.classes.get(class)?.orgs.get(org)?;
+        org_queue.iter().find(|waiting| waiting.request.id == id)
     }
 
-    pub(crate) fn remove(&mut self, request: RequestId) -> Option<Waiting> {
-        let (class, org) = self.index.remove(&request)?;
+    pub(crate) fn remove(&mut self, id: RequestId) -> Option<Waiting> {
+        let (class, org) = self.index.remove(&id)?;
         let queue = self.classes.get_mut(&class)?;
-        let line = queue.orgs.get_mut(&org)?;
-        let at = line.iter().position(|waiting| waiting.ask.id == request)?;
-        let waiting = line.remove(at)?;
-        if line.is_empty() {
+        let org_queue = queue.orgs.get_mut(&org)?;
+        let index = org_queue.iter().position(|waiting| waiting.request.id == id)?;
+        let waiting = org_queue.remove(index)?;
+        if org_queue.is_empty() {
             queue.orgs.remove(&org);
         }
         queue.count -= 1;
@@ -131,11 +134,11 @@
         self.classes.values().flat_map(ClassQueue::iter)
     }
 
-    /// Changes every waiting request's reach; used when configuration changes.
-    pub(crate) fn for_each_ask(&mut self, mut change: impl FnMut(&mut SlotRequest)) {
+    /// Updates every queued request in place; its id, class and organisation must stay.
+    pub(crate) fn for_each_request(&mut self, mut update: impl FnMut(&mut SlotRequest)) {
         for queue in self.classes.values_mut() {
             for waiting in queue.orgs.values_mut().flatten() {
-                change(&mut waiting.ask);
+                update(&mut waiting.request);
             }
         }
     }
