--- a/crates/rudder-route/tests/rate_limit.rs
+++ b/crates/rudder-route/tests/rate_limit.rs
@@ -1,4 +1,4 @@
-//! What a holder grants of a rate, whatever is asked when.
+//! Rate limiting by a holder, under arbitrary sequences of requests.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
     RequestRate::try_from_per_second(requests).expect("a rate")
 }
 
-/// Requests granted in a span in which `per_second` of this tier are asked for, one by one.
+/// Requests granted to each tier within `span` at a rate of `requests` a second, when each asks for one every 10 ms.
 fn granted(limiter: &mut RateLimiter, requests: f64, tiers: &[Tier], from: Duration, span: Duration) -> Vec<u32> {
     let mut counts = vec![0; tiers.len()];
     let mut now = from;
@@ -26,7 +26,7 @@
 }
 
 quickcheck! {
-    /// In any span no more than the rate allows in it and half a second more, and two beside.
+    /// Any span gets at most what the rate allows in it plus half a second, and two requests more.
     fn no_span_gets_more_than_the_rate(pauses: Vec<(u16, u8, u8)>, per_second: u8) -> bool {
         let per_second = f64::from(per_second) / 8.0;
         let mut limiter = RateLimiter::default();
@@ -48,7 +48,7 @@
     }
 }
 
-macro_rules! used {
+macro_rules! usage {
     ($($name:ident: $requests:expr => $range:expr;)*) => {
         $(#[test] fn $name() {
             let count = granted(&mut RateLimiter::default(), $requests, &[0], SECOND, SECOND * 40)[0];
@@ -57,43 +57,41 @@
     };
 }
 
-used! {
-    one_a_second_is_used: 1.0 => 39..=40;
-    less_than_one_a_second_is_used: 0.1 => 3..=4;
-    many_a_second_are_used: 80.0 => 3190..=3200;
-    of_none_a_second_a_few_are_tried: 0.0 => 1..=2;
-    a_rate_beyond_all_counts_denies_little: 1e300 => 3999..=4000;
+usage! {
+    a_rate_of_one_a_second_is_used: 1.0 => 39..=40;
+    a_rate_below_one_a_second_is_used: 0.1 => 3..=4;
+    a_high_rate_is_used: 80.0 => 3190..=3200;
+    a_rate_of_zero_still_allows_probes: 0.0 => 1..=2;
+    a_huge_rate_denies_almost_nothing: 1e300 => 3999..=4000;
 }
 
-/// It is not known what another holder has granted shortly before.
+/// A new holder must not add to what the previous one granted just before.
 #[test]
-fn a_holder_starts_with_nothing_to_grant() {
+fn a_new_limiter_starts_empty() {
     let mut limiter = RateLimiter::default();
-    let retry = limiter.try_take(SECOND, rate(4.0), 0, 1).expect_err("nothing is left");
+    let retry = limiter.try_take(SECOND, rate(4.0), 0, 1).expect_err("the bucket is empty");
     assert!(retry >= Duration::from_millis(250) && retry <= SECOND, "{retry:?}");
 }
 
 #[test]
-fn a_lower_rate_holds_at_once() {
+fn a_lowered_rate_takes_effect_at_once() {
     let mut limiter = RateLimiter::default();
     granted(&mut limiter, 400.0, &[0], Duration::ZERO, SECOND);
     let after = granted(&mut limiter, 1.0, &[0], SECOND * 3, SECOND * 4)[0];
     assert!(after <= 6, "{after}");
 }
 
-/// The most urgent tier has what it wants, and each below gets one of ten.
 #[test]
-fn urgent_tiers_go_first_and_none_starves() {
+fn urgent_tiers_go_first_and_no_tier_starves() {
     let counts = granted(&mut RateLimiter::default(), 20.0, &[2, 1, 0], Duration::ZERO, SECOND * 60);
     let total: u32 = counts.iter().sum();
     assert!(total >= 1180, "the rate is used: {counts:?}");
-    assert!(counts[2] > 900, "the most urgent gets most: {counts:?}");
-    assert!(counts[1] >= 60 && counts[0] >= 60, "each gets some: {counts:?}");
+    assert!(counts[2] > 900, "the most urgent tier gets most: {counts:?}");
+    assert!(counts[1] >= 60 && counts[0] >= 60, "each tier gets some: {counts:?}");
 }
 
-/// Where the most urgent tier wants little, the others have the rest.
 #[test]
-fn what_urgent_tiers_leave_is_used() {
+fn capacity_left_by_urgent_tiers_is_used() {
     let mut limiter = RateLimiter::default();
     let (mut urgent, mut other) = (0, 0);
     for step in 0..6000_u32 {
@@ -106,11 +104,11 @@
     assert!(urgent + other >= 900, "{urgent} urgent and {other} others of 1,200");
 }
 
-/// All that are denied at once come back one after the other.
+/// Requests denied at the same time must not all retry at the same time.
 #[test]
-fn those_denied_are_told_different_times() {
+fn retries_of_denied_requests_are_spread() {
     let mut limiter = RateLimiter::default();
     let retries: Vec<Duration> =
-        (0..6).map(|_| limiter.try_take(SECOND, rate(4.0), 0, 1).expect_err("nothing is left")).collect();
+        (0..6).map(|_| limiter.try_take(SECOND, rate(4.0), 0, 1).expect_err("the bucket is empty")).collect();
     assert!(retries.is_sorted() && retries[0] < retries[5], "{retries:?}");
 }
