--- a/crates/rudder-route/src/slow_start.rs
+++ b/crates/rudder-route/src/slow_start.rs
@@ -1,25 +1,24 @@
-//! Slow start: an endpoint that has just started, or has gone cold, bears few requests until it is warm.
+//! Slow start: limits requests to an endpoint that has just started or has gone cold, until it is warm.
 //!
-//! What it bears is a bound for all instances together, and no instance can ask the others before it sends. So a few
-//! instances, named by a hash of the endpoint, send to it while it warms up, each no more than its own part of the bound;
-//! all others send nothing. The parts add up to the bound at most. Where two halves of the instances hold different lists
-//! of each other, both halves may name their own few, and the sum is twice that.
+//! The limit holds over all instances, and they cannot coordinate before each request. So only a few instances, chosen
+//! by rendezvous hashing on the endpoint, send to it while it warms up, each within its own share of the limit. The
+//! shares add up to the limit at most. If a partition splits the instances in two, each side may choose its own
+//! senders, and the sum is at most twice the limit.
 
 use std::{collections::VecDeque, time::Duration};
 
 use rudder_model::id;
 use serde::Deserialize;
 
-/// Shortest time over which requests are counted: what an endpoint bears counts by the second, and of two requests the later
-/// one may take less time on its way, by a quarter of a second where links are poor.
-const WINDOW: Duration = Duration::from_millis(1250);
+/// Shortest window of a share: a second, as the limit is per second, and a quarter for the jitter of poor links.
+const MIN_WINDOW: Duration = Duration::from_millis(1250);
 
 /// Settings of slow start.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct SlowStart {
-    /// Instances that send to one endpoint while it warms up. With one, the endpoint gets nothing where that one is
-    /// down; with many, each may send too seldom to be of use.
+    /// Instances that send to one endpoint while it warms up. With a single one, the endpoint gets no requests while
+    /// that instance is down; with many, each share becomes too small to be useful.
     pub senders: usize,
 }
 
@@ -29,18 +28,18 @@
     }
 }
 
-/// One instance's part of what an endpoint bears: so many requests within any span of this length.
+/// One instance's share of an endpoint's limit: at most `count` requests in any time span of length `window`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Share {
-    /// Requests.
+    /// Largest number of requests.
     pub count: usize,
-    /// Length of the span.
+    /// Length of the time span.
     pub window: Duration,
 }
 
 impl SlowStart {
-    /// The part of the instance `me` in the `rate`, in requests a second, that `endpoint` bears while it warms up; `None`
-    /// where others of the live `instances` send to it.
+    /// The share of the instance `me` in the limit of `endpoint` while it warms up, given as a `rate` in requests a
+    /// second; `None` if `me` is not among the senders chosen from the live `instances`.
     pub fn share<'a>(
         &self,
         endpoint: &str,
@@ -49,42 +48,42 @@
         instances: impl Iterator<Item = &'a str>,
     ) -> Option<Share> {
         let own = id::rendezvous(endpoint, me);
-        let (mut live, mut ahead) = (1, 0);
+        let (mut live, mut rank) = (1, 0);
         for other in instances.filter(|name| *name != me) {
             live += 1;
-            ahead += usize::from(id::rendezvous(endpoint, other) > own);
+            rank += usize::from(id::rendezvous(endpoint, other) > own);
         }
-        // No more senders than requests in a second: each has one at least.
+        // Each sender needs a share of at least one request a second.
         let senders = self.senders.min(rate as usize).min(live).max(1);
-        if ahead >= senders {
+        if rank >= senders {
             return None;
         }
         let count = (rate / senders as f64).floor().max(1.0);
-        // Below one request a second, the only sender waits longer.
+        // Below one request a second, the single sender gets a longer window.
         let needed = Duration::try_from_secs_f64(count * senders as f64 / rate).unwrap_or(Duration::MAX);
-        Some(Share { count: count as usize, window: needed.max(WINDOW) })
+        Some(Share { count: count as usize, window: needed.max(MIN_WINDOW) })
     }
 }
 
-/// When requests were sent to one endpoint, as far back as a share's window reaches.
+/// Times of the requests sent to one endpoint within the last window.
 #[derive(Clone, Debug, Default)]
 pub struct SendHistory {
     times: VecDeque<Duration>,
 }
 
 impl SendHistory {
-    /// True where one more may be sent at `now`.
+    /// True if another request may be sent at `now`.
     pub fn has_room(&self, now: Duration, share: Share) -> bool {
         self.times.iter().filter(|sent| now < **sent + share.window).count() < share.count
     }
 
-    /// Records that one is sent at `now`.
+    /// Records a request sent at `now`.
     pub fn note(&mut self, now: Duration, share: Share) {
         self.times.retain(|sent| now < *sent + share.window);
         self.times.push_back(now);
     }
 
-    /// When the last one was sent.
+    /// Time of the last request.
     pub fn last(&self) -> Option<Duration> {
         self.times.back().copied()
     }
--- a/crates/rudder-route/tests/slow_start.rs
+++ b/crates/rudder-route/tests/slow_start.rs
@@ -1,4 +1,5 @@
-//! Slow start: what all instances together send to an endpoint while it warms up, whatever each holds of the others.
+//! Slow start: the total rate of all instances to an endpoint that warms up, also while their lists of each other
+//! differ.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -10,7 +11,7 @@
     (0..count).map(|number| format!("10.0.0.{number}:7000")).collect()
 }
 
-/// The shares of those of `names` who send to `endpoint`, each of whom holds what `views` says of the others.
+/// The shares of the instances that send to `endpoint`. Each instance sees the others as listed by `views`.
 fn shares<'a>(rate: f64, endpoint: &str, names: &'a [String], views: impl Fn(&str) -> &'a [String]) -> Vec<Share> {
     let policy = SlowStart::default();
     let share = |me: &String| policy.share(endpoint, rate, me, views(me).iter().map(String::as_str));
@@ -27,27 +28,27 @@
             let names = names($instances);
             for number in 0..200 {
                 let shares = shares($rate, &format!("e-{number}"), &names, |_| &names);
-                assert!(!shares.is_empty(), "somebody sends to each");
+                assert!(!shares.is_empty(), "each endpoint has a sender");
                 assert!(per_second(&shares) <= $rate, "{shares:?}");
-                assert!(per_second(&shares) >= $rate / 2.0, "little of it is left unused: {shares:?}");
+                assert!(per_second(&shares) >= $rate / 2.0, "at least half of the rate is used: {shares:?}");
             }
         })*
     };
 }
 
 rates! {
-    the_shares_of_nine_add_up_to_the_rate: 9, 11.0;
-    the_shares_of_eighty_add_up_to_the_rate: 81, 11.0;
-    the_shares_of_a_thousand_add_up_to_the_rate: 1000, 11.0;
-    one_instance_alone_has_all_of_it: 1, 11.0;
-    few_requests_a_second_have_few_senders: 81, 2.0;
-    less_than_one_a_second_is_spread_over_time: 81, 0.25;
+    shares_of_nine_instances_add_up_to_the_rate: 9, 11.0;
+    shares_of_eighty_instances_add_up_to_the_rate: 81, 11.0;
+    shares_of_a_thousand_instances_add_up_to_the_rate: 1000, 11.0;
+    a_single_instance_has_the_whole_rate: 1, 11.0;
+    a_low_rate_has_few_senders: 81, 2.0;
+    a_rate_below_one_a_second_has_a_longer_window: 81, 0.25;
     a_high_rate_is_used: 81, 300.0;
 }
 
-/// Half of the instances were lost to the others, and both halves name senders of their own.
+/// Each side of a partition chooses its own senders.
 #[test]
-fn halves_that_do_not_see_each_other_send_twice_the_rate_at_most() {
+fn a_partition_at_most_doubles_the_rate() {
     let names = names(81);
     let (one, other) = names.split_at(40);
     let view = |me: &str| if one.iter().any(|name| name == me) { one } else { other };
@@ -57,10 +58,9 @@
     }
 }
 
-/// All start at once and know a part of the others at first: that would add up to far more, so that an instance has to know
-/// the others for a while before it sends.
+/// Instances that know no others exceed the limit by far, so callers must wait for a complete list before they send.
 #[test]
-fn lists_that_are_still_short_would_overrun_it() {
+fn incomplete_instance_lists_exceed_the_rate() {
     let names = names(81);
     let shares: f64 = names
         .iter()
@@ -73,7 +73,6 @@
     assert!(shares > 100.0, "{shares}");
 }
 
-/// The work of sending is spread: it is not the same few for all endpoints.
 #[test]
 fn senders_differ_by_endpoint() {
     let names = names(81);
@@ -86,7 +85,7 @@
 }
 
 #[test]
-fn no_more_is_sent_within_the_window() {
+fn no_window_exceeds_the_share() {
     let share = Share { count: 2, window: SECOND };
     let mut sent = SendHistory::default();
     let mut times = Vec::new();
@@ -98,8 +97,8 @@
         }
     }
     assert_eq!(times.len(), 10);
-    for (at, first) in times.iter().enumerate() {
-        let within = times[at..].iter().filter(|later| **later < *first + SECOND).count();
+    for (index, first) in times.iter().enumerate() {
+        let within = times[index..].iter().filter(|later| **later < *first + SECOND).count();
         assert!(within <= 2, "{times:?}");
     }
 }
