--- a/crates/rudder-route/examples/rate_limits.rs
+++ b/crates/rudder-route/examples/rate_limits.rs
@@ -1,6 +1,6 @@
-//! Ways in which many instances can keep the rate limit of one endpoint together, in virtual time: how much comes in the worst
-//! four seconds, as a share of what may, and how much of the limit is used. Run with
-//! `cargo run --release -p rudder-route --example rate_limits`.
+//! Compares strategies by which many instances enforce the rate limit of one endpoint, in virtual time. For each it
+//! prints the most requests in any four seconds, as a share of what is allowed, and the share of the limit that is
+//! used. Run with `cargo run --release -p rudder-route --example rate_limits`.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -14,30 +14,30 @@
 
 /// Length of a run.
 const RUN: Duration = Duration::from_secs(60);
-/// Time over which arrivals are counted.
+/// Length of the window in which requests are counted.
 const WINDOW: Duration = Duration::from_secs(4);
-/// Age of what instances know of each other's demand.
-const LAG: Duration = Duration::from_millis(300);
-/// Time over which demand is measured.
-const MEASURE: Duration = Duration::from_secs(1);
-/// From one instance to the holder.
-const LINK: Duration = Duration::from_millis(2);
-/// Runs of each case.
+/// Delay until an instance knows the demand at the others.
+const DEMAND_DELAY: Duration = Duration::from_millis(300);
+/// Window over which demand is averaged.
+const DEMAND_WINDOW: Duration = Duration::from_secs(1);
+/// One-way latency between an instance and the holder.
+const LATENCY: Duration = Duration::from_millis(2);
+/// Number of runs of each case, each with its own seed.
 const SEEDS: u64 = 5;
 
-/// How demand comes.
+/// Pattern of demand.
 #[derive(Clone, Copy, Debug)]
 enum Demand {
-    /// Three times the limit, at all instances alike.
+    /// Three times the limit, spread evenly over all instances.
     Even,
-    /// Three times the limit, at a third of the instances alone.
+    /// Three times the limit, at a third of the instances.
     OneHall,
-    /// Half of the limit, and from the middle of the run on five times it.
+    /// Half of the limit, then five times the limit from the middle of the run on.
     Jump,
 }
 
 impl Demand {
-    /// Requests a second at a time, as a multiple of the limit.
+    /// Demand at a time, as a multiple of the limit.
     fn level(self, at: Duration) -> f64 {
         match self {
             Demand::Even | Demand::OneHall => 3.0,
@@ -51,20 +51,20 @@
     }
 }
 
-/// Decides for each request in turn whether it may be sent.
-trait Way {
+/// Decides for each request whether it may be sent.
+trait Strategy {
     const NAME: &'static str;
     fn new(instances: usize, limit: f64, seed: u64) -> Self;
     fn may_send(&mut self, instance: usize, now: Duration) -> bool;
 }
 
-/// Each instance has the same share of the limit.
+/// Each instance gets an equal share of the limit.
 struct EqualShares {
     share: f64,
     buckets: Vec<(f64, Duration)>,
 }
 
-impl Way for EqualShares {
+impl Strategy for EqualShares {
     const NAME: &'static str = "equal shares";
 
     fn new(instances: usize, limit: f64, _: u64) -> Self {
@@ -81,13 +81,13 @@
     }
 }
 
-/// A few instances, named by a hash, have shares; the others send nothing.
-struct NamedFew {
+/// A few instances, chosen by rendezvous hashing, have shares; the others send nothing.
+struct HashedSenders {
     shares: Vec<Option<Share>>,
     sent: Vec<SendHistory>,
 }
 
-impl Way for NamedFew {
+impl Strategy for HashedSenders {
     const NAME: &'static str = "a few by hash";
 
     fn new(instances: usize, limit: f64, seed: u64) -> Self {
@@ -95,7 +95,7 @@
         let endpoint = format!("e-{seed}");
         let all = || names.iter().map(String::as_str);
         let shares = names.iter().map(|me| SlowStart::default().share(&endpoint, limit, me, all())).collect();
-        NamedFew { shares, sent: vec![SendHistory::default(); instances] }
+        HashedSenders { shares, sent: vec![SendHistory::default(); instances] }
     }
 
     fn may_send(&mut self, instance: usize, now: Duration) -> bool {
@@ -108,62 +108,62 @@
     }
 }
 
-/// Each request is sent with the probability by which the sum of all demand, as it was some time ago, exceeds the limit.
+/// Each request is sent with a probability of the limit over the total demand, as known after a delay.
 struct ByDemand {
     limit: f64,
-    wanted: VecDeque<Duration>,
+    arrivals: VecDeque<Duration>,
     rng: Pcg64,
 }
 
-impl Way for ByDemand {
+impl Strategy for ByDemand {
     const NAME: &'static str = "by known demand";
 
     fn new(_: usize, limit: f64, seed: u64) -> Self {
-        ByDemand { limit, wanted: VecDeque::new(), rng: Pcg64::seed_from_u64(seed) }
+        ByDemand { limit, arrivals: VecDeque::new(), rng: Pcg64::seed_from_u64(seed) }
     }
 
     fn may_send(&mut self, _: usize, now: Duration) -> bool {
-        self.wanted.push_back(now);
-        while self.wanted.front().is_some_and(|at| *at + LAG + MEASURE < now) {
-            self.wanted.pop_front();
+        self.arrivals.push_back(now);
+        while self.arrivals.front().is_some_and(|at| *at + DEMAND_DELAY + DEMAND_WINDOW < now) {
+            self.arrivals.pop_front();
         }
-        let known = self.wanted.iter().filter(|at| **at + LAG <= now).count();
-        let demand = known as f64 / MEASURE.as_secs_f64();
+        let known = self.arrivals.iter().filter(|at| **at + DEMAND_DELAY <= now).count();
+        let demand = known as f64 / DEMAND_WINDOW.as_secs_f64();
         self.rng.random_range(0.0..1.0) * demand.max(self.limit) < self.limit
     }
 }
 
 /// One holder grants each request.
-struct Holder {
+struct SingleHolder {
     rate: RequestRate,
     limiter: RateLimiter,
     retry_at: Vec<Duration>,
 }
 
-impl Way for Holder {
+impl Strategy for SingleHolder {
     const NAME: &'static str = "one holder";
 
     fn new(instances: usize, limit: f64, _: u64) -> Self {
         let rate = RequestRate::try_from_per_second(limit).expect("a rate");
-        Holder { rate, limiter: RateLimiter::default(), retry_at: vec![Duration::ZERO; instances] }
+        SingleHolder { rate, limiter: RateLimiter::default(), retry_at: vec![Duration::ZERO; instances] }
     }
 
     fn may_send(&mut self, instance: usize, now: Duration) -> bool {
         if now < self.retry_at[instance] {
             return false;
         }
-        let denied = self.limiter.try_take(now + LINK, self.rate, 0, 1).err();
-        self.retry_at[instance] = denied.map_or(now, |retry| now + LINK * 2 + retry);
+        let denied = self.limiter.try_take(now + LATENCY, self.rate, 0, 1).err();
+        self.retry_at[instance] = denied.map_or(now, |retry| now + LATENCY * 2 + retry);
         denied.is_none()
     }
 }
 
-/// The most requests in any window, as a share of what may come, and the share of the limit that is used.
-fn play<W: Way>(instances: usize, limit: f64, demand: Demand) -> (f64, f64) {
+/// The most requests in any window, as a share of what is allowed, and the share of the limit that is used.
+fn simulate<S: Strategy>(instances: usize, limit: f64, demand: Demand) -> (f64, f64) {
     let (mut worst, mut used) = (0.0_f64, 0.0);
     for seed in 0..SEEDS {
         let mut rng = Pcg64::seed_from_u64(seed);
-        let mut way = W::new(instances, limit, seed);
+        let mut strategy = S::new(instances, limit, seed);
         let mut sent: Vec<Duration> = Vec::new();
         let (mut now, mut possible) = (Duration::ZERO, 0.0);
         loop {
@@ -175,7 +175,7 @@
                 break;
             }
             let instance = rng.random_range(0..demand.senders(instances));
-            if way.may_send(instance, now) {
+            if strategy.may_send(instance, now) {
                 sent.push(now);
             }
         }
@@ -188,11 +188,11 @@
     (worst, used)
 }
 
-fn print_row<W: Way>(demand: Demand) {
-    print!("| {} | {demand:?} ", W::NAME);
+fn print_row<S: Strategy>(demand: Demand) {
+    print!("| {} | {demand:?} ", S::NAME);
     for instances in [9, 60, 300, 995] {
         for limit in [1.0, 20.0] {
-            let (worst, used) = play::<W>(instances, limit, demand);
+            let (worst, used) = simulate::<S>(instances, limit, demand);
             print!("| {worst:.2}, {used:.2} ");
         }
     }
@@ -200,12 +200,12 @@
 }
 
 fn main() {
-    println!("| way | demand | 9 instances, 1/s | 20/s | 60, 1/s | 20/s | 300, 1/s | 20/s | 995, 1/s | 20/s |");
+    println!("| strategy | demand | 9 instances, 1/s | 20/s | 60, 1/s | 20/s | 300, 1/s | 20/s | 995, 1/s | 20/s |");
     println!("|---|---|---|---|---|---|---|---|---|---|");
     for demand in [Demand::Even, Demand::OneHall, Demand::Jump] {
         print_row::<EqualShares>(demand);
-        print_row::<NamedFew>(demand);
+        print_row::<HashedSenders>(demand);
         print_row::<ByDemand>(demand);
-        print_row::<Holder>(demand);
+        print_row::<SingleHolder>(demand);
     }
 }
