--- a/crates/rudder-gateway/src/policy.rs
+++ b/crates/rudder-gateway/src/policy.rs
@@ -221,8 +221,8 @@
             ("lanes.largest", self.lanes.largest),
             ("lanes.smallest", self.lanes.smallest),
             ("choice.again_most", self.choice.again_most),
-            ("scaling.slots", self.scaling.slots),
-            ("scaling.floor", self.scaling.floor),
+            ("scaling.slots", self.scaling.target_utilisation),
+            ("scaling.floor", self.scaling.on_demand_share),
         ];
         let factors = [
             ("choice.copy_speed", self.choice.copy_speed),
@@ -231,8 +231,8 @@
         ];
         check_all(&shares, 1.0)?;
         check_all(&factors, FACTOR_MOST)?;
-        check_all(&[("scaling.pressing", self.scaling.pressing)], FACTOR_MOST)?;
-        check_all(&[("scaling.hold", self.scaling.hold)], HOLD_MOST)?;
+        check_all(&[("scaling.pressing", self.scaling.overload_factor)], FACTOR_MOST)?;
+        check_all(&[("scaling.hold", self.scaling.hold_seconds)], HOLD_MOST)?;
         check_counts(&[
             ("relays.direct", self.relays.direct, DIRECT_LEAST),
             ("relays.askers", self.relays.askers, 1),
--- a/crates/rudder-route/src/scale.rs
+++ b/crates/rudder-route/src/scale.rs
@@ -83,20 +83,31 @@
     /// Orders are given at all.
     pub enabled: bool,
     /// Part of its slots that an engine is to be used for: at more, long prompts wait for each other.
-    pub slots: f64,
+    #[serde(rename = "slots")]
+    pub target_utilisation: f64,
     /// On-demand engines fill in for spot ones where the others would be used for this many times that part.
-    pub pressing: f64,
+    #[serde(rename = "pressing")]
+    pub overload_factor: f64,
     /// Seconds for which the highest demand is remembered: engines are let go only after it.
-    pub hold: f64,
+    #[serde(rename = "hold")]
+    pub hold_seconds: f64,
     /// On-demand engines, as a part of what is needed.
-    pub floor: f64,
+    #[serde(rename = "floor")]
+    pub on_demand_share: f64,
     /// Engines beyond those needed, so that the loss of all of one hall that may be taken away leaves enough.
     pub reserve: bool,
 }
 
 impl Default for ScaleOptions {
     fn default() -> Self {
-        ScaleOptions { enabled: true, slots: 0.12, pressing: 2.0, hold: 120.0, floor: 0.0, reserve: true }
+        ScaleOptions {
+            enabled: true,
+            target_utilisation: 0.12,
+            overload_factor: 2.0,
+            hold_seconds: 120.0,
+            on_demand_share: 0.0,
+            reserve: true,
+        }
     }
 }
 
@@ -173,8 +184,8 @@
         if !self.is_settled(now) || self.is_fresh(halls) {
             self.first = self.first.max(count_bearing(halls, options));
         }
-        let hold = Duration::try_from_secs_f64(options.hold).unwrap_or_default();
-        let asked = f64::from(demand.calls) / (f64::from(demand.slots) * options.slots).max(1.0);
+        let hold = Duration::try_from_secs_f64(options.hold_seconds).unwrap_or_default();
+        let asked = f64::from(demand.calls) / (f64::from(demand.slots) * options.target_utilisation).max(1.0);
         if asked > 0.0 {
             self.since.get_or_insert(now);
         }
@@ -192,7 +203,7 @@
         // Until demand has been watched for as long as it is remembered, the operator's count stands.
         let watched = self.since.is_some_and(|since| now >= since + hold);
         let usual = if watched { 0 } else { self.first };
-        let pressing = highest(now.saturating_sub(PRESSING)) / options.pressing;
+        let pressing = highest(now.saturating_sub(PRESSING)) / options.overload_factor;
         Needs { lasting: (peak.ceil() as u32).max(usual).max(1), pressing: pressing.ceil() as u32, usual }
     }
 
@@ -279,7 +290,8 @@
     };
     let needed = needs.lasting;
     let mut places: Vec<Place> = halls.iter().map(to_place).collect();
-    let floor = if bounds.spot_price.is_some() { (f64::from(needed) * options.floor).ceil() as u32 } else { 0 };
+    let floor =
+        if bounds.spot_price.is_some() { (f64::from(needed) * options.on_demand_share).ceil() as u32 } else { 0 };
     add_on_demand(floor, bounds, &mut places);
     let count = places.iter().filter(|place| place.open).count() as u32;
     if bounds.spot_price.is_some() {
--- a/crates/rudder-route/tests/scale.rs
+++ b/crates/rudder-route/tests/scale.rs
@@ -31,7 +31,7 @@
 
 /// Demand that keeps so many engines as busy as they should be.
 fn demand(engines: u32) -> Demand {
-    Demand { calls: (f64::from(engines * SLOTS) * ScaleOptions::default().slots) as u32, slots: SLOTS }
+    Demand { calls: (f64::from(engines * SLOTS) * ScaleOptions::default().target_utilisation) as u32, slots: SLOTS }
 }
 
 fn on_demand(wanted: &[DesiredEngines]) -> [u32; 3] {
