--- a/crates/rudder-route/src/scale.rs
+++ b/crates/rudder-route/src/scale.rs
@@ -1,10 +1,10 @@
-//! How many engines a service should have in each hall, and of which kind.
+//! Scaling: how many on-demand and spot engines a service should have in each hall.
 //!
-//! Engines that may be taken away at short notice cost a small part of the others, so what is needed stands on them,
-//! spread over the halls with so many more that the loss of all of one hall leaves enough. On-demand engines are the
-//! floor below that, and what fills in where none of the spot ones are to be had.
+//! Spot engines can be reclaimed at short notice but cost a fraction of the price, so they carry the demand. They are
+//! spread over the halls with enough in reserve to survive the loss of all spot engines of one hall. On-demand engines
+//! provide a guaranteed minimum and replace spot engines where those are unavailable.
 //!
-//! The policy knows no clock: time comes in with each call, and what it remembers of the demand is its own.
+//! The policy reads no clock: the time is passed to each call. It keeps its own history of the demand.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -14,87 +14,86 @@
 use rudder_model::HallId;
 use serde::Deserialize;
 
-/// Time between two samples of demand that are remembered.
-const SAMPLE: Duration = Duration::from_secs(1);
-/// From the first look until all engines have been heard of: two periods of their heartbeats.
-const GATHER: Duration = Duration::from_secs(3);
-/// Demand counts as pressing for this long: shorter swings are over before an engine has started.
-const PRESSING: Duration = Duration::from_secs(3);
-/// Engines of one hall at a time are let go while there is demand, this long apart: the sessions that they kept are read
-/// again elsewhere.
-const LET_GO_PAUSE: Duration = Duration::from_secs(4);
+/// Time between two samples of demand.
+const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
+/// Time after the start until all engines should be known: two heartbeat intervals.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
+/// Window for the urgent demand. Shorter peaks are over before a new engine has started.
+const URGENT_WINDOW: Duration = Duration::from_secs(3);
+/// Under load, on-demand engines are released in one hall at a time, this far apart, as the prompts of their sessions
+/// must be processed again elsewhere.
+const RELEASE_INTERVAL: Duration = Duration::from_secs(4);
+/// Surplus spot engines are kept for this time. A hall that lost its engines has new ones sooner than that, but may
+/// lose those as well.
+const SPARE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Cheap engines that have become spare are kept this long: a hall whose engines were all taken away has new ones after
-/// about ten seconds, and is as likely to lose them again as any.
-const SPARE_KEPT: Duration = Duration::from_secs(30);
-
-/// What the configuration allows for a service.
+/// Bounds and prices that the configuration sets for a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Bounds {
-    /// Engines in a hall at least, both kinds together.
+    /// Smallest number of engines in a hall, both kinds together.
     pub min: u32,
-    /// Engines in a hall at most, both kinds together.
+    /// Largest number of engines in a hall, both kinds together.
     pub max: u32,
-    /// From an order until a new engine serves.
+    /// Time from an order until a new engine serves requests.
     pub boot_time: Duration,
-    /// What an engine that may be taken away costs, as a part of the others; `None` where there are none.
+    /// Price of a spot engine relative to an on-demand one; `None` if the service has no spot engines.
     pub spot_price: Option<f64>,
-    /// Price of an engine by hall.
+    /// Price of an engine in each hall.
     pub prices: BTreeMap<HallId, f64>,
 }
 
-/// Engines of one hall.
+/// Engines that serve in one hall.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct HallEngines {
     /// The hall.
     pub hall: HallId,
-    /// On-demand engines that take work.
+    /// On-demand engines that accept requests.
     pub on_demand: u32,
-    /// Engines that may be taken away and that take work.
+    /// Spot engines that accept requests.
     pub spot: u32,
-    /// No more that may be taken away are to be had here for now.
+    /// No more spot engines can be ordered here at present.
     pub spot_unavailable: bool,
 }
 
-/// The work that callers ask of a service.
+/// Current demand for a service.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Demand {
-    /// Requests under way: they pile up where engines are too few, whatever it is that those lack.
+    /// Requests in flight. Their number rises if there are too few engines, whatever resource is exhausted.
     pub calls: u32,
-    /// Requests that an engine works on at once.
+    /// Requests that an engine serves concurrently.
     pub slots: u32,
 }
 
-/// Engines that a hall should have.
+/// Number of engines that a hall should have.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DesiredEngines {
     /// The hall.
     pub hall: HallId,
-    /// On-demand engines; `None` where that cannot be told yet.
+    /// On-demand engines; `None` while that is unknown.
     pub on_demand: Option<u32>,
-    /// Engines that may be taken away.
+    /// Spot engines.
     pub spot: u32,
 }
 
-/// Settings of the policy.
+/// Settings of scaling.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct ScaleOptions {
-    /// Orders are given at all.
+    /// Engines are ordered.
     pub enabled: bool,
-    /// Part of its slots that an engine is to be used for: at more, long prompts wait for each other.
+    /// Share of an engine's slots that should be in use. Above it, long prompts delay each other.
     #[serde(rename = "slots")]
     pub target_utilisation: f64,
-    /// On-demand engines fill in for spot ones where the others would be used for this many times that part.
+    /// On-demand engines replace missing spot engines once the utilisation would exceed its target by this factor.
     #[serde(rename = "pressing")]
     pub overload_factor: f64,
-    /// Seconds for which the highest demand is remembered: engines are let go only after it.
+    /// Length of the window whose peak demand determines the number of engines, in seconds.
     #[serde(rename = "hold")]
     pub hold_seconds: f64,
-    /// On-demand engines, as a part of what is needed.
+    /// Share of the needed engines that are on-demand.
     #[serde(rename = "floor")]
     pub on_demand_share: f64,
-    /// Engines beyond those needed, so that the loss of all of one hall that may be taken away leaves enough.
+    /// Orders additional spot engines, so that those left after the loss of one hall are enough.
     pub reserve: bool,
 }
 
@@ -111,35 +110,38 @@
     }
 }
 
-/// Engines that the demand needs.
+/// Number of engines needed.
 #[derive(Clone, Copy, Debug)]
 struct Needs {
-    /// For the highest demand remembered, or as many as the operator had.
-    lasting: u32,
-    /// For the demand of the last seconds: worth on-demand engines where there are no others.
-    pressing: u32,
-    /// As many as the operator had, while demand has not been watched for long.
-    usual: u32,
+    /// For the peak demand of the window; at least the initial count while that applies.
+    sustained: u32,
+    /// For the demand of the last seconds, at the overload factor. It justifies on-demand engines if spot engines are
+    /// missing.
+    urgent: u32,
+    /// The initial count, until demand has been observed for a whole window.
+    initial: u32,
 }
 
-/// The policy for one service, and what it remembers of its demand.
+/// Scaling policy and demand history of one service.
 #[derive(Clone, Debug, Default)]
 pub struct Scaler {
     samples: VecDeque<(Duration, f64)>,
-    /// When it was first asked.
-    began: Option<Duration>,
-    /// Engines that were there at first, which is what the operator took for needed.
-    first: u32,
-    /// When demand was first seen.
-    since: Option<Duration>,
-    let_go: Option<Duration>,
-    /// Since when a hall has had more spot engines than planned.
-    spare: BTreeMap<HallId, Duration>,
+    /// Time of the first plan.
+    started: Option<Duration>,
+    /// Engines that existed at the start, which the operator considered necessary.
+    initial: u32,
+    /// Time at which demand was first observed.
+    demand_since: Option<Duration>,
+    /// Time at which on-demand engines were last released.
+    last_release: Option<Duration>,
+    /// Time since which a hall has had more spot engines than planned.
+    spare_since: BTreeMap<HallId, Duration>,
 }
 
 impl Scaler {
-    /// What each hall should have. While not all engines may have been heard of, nothing is ordered but spot ones where
-    /// there are none yet: those do no harm, and the others are the dearer the longer they are waited for.
+    /// Computes the number of engines for each hall. Until all engines should be known, the plan is empty, unless the
+    /// service has no spot engines yet. In that case those are ordered right away, so that they replace the on-demand
+    /// ones sooner.
     pub fn plan(
         &mut self,
         now: Duration,
@@ -149,184 +151,185 @@
         options: &ScaleOptions,
     ) -> Vec<DesiredEngines> {
         let needs = self.needs(now, demand, halls, options);
-        let fresh = self.is_fresh(halls);
+        let new = self.is_new(halls);
         let settled = self.is_settled(now);
-        if !settled && !fresh {
+        if !settled && !new {
             return Vec::new();
         }
-        let mut wanted = spread(needs, bounds, halls, options);
-        self.keep_until_replaced(now, needs, bounds, (demand, halls), &mut wanted);
-        self.keep_spare(now, halls, &mut wanted);
-        for want in &mut wanted {
-            // An order for spot ones waits for room below the bound on both kinds.
-            want.spot = want.spot.min(bounds.max.saturating_sub(want.on_demand.unwrap_or_default()));
+        let mut targets = spread(needs, bounds, halls, options);
+        self.keep_on_demand_until_replaced(now, needs, bounds, (demand, halls), &mut targets);
+        self.keep_spare_spot(now, halls, &mut targets);
+        for target in &mut targets {
+            // Spot engines are ordered only within the bound on both kinds together.
+            target.spot = target.spot.min(bounds.max.saturating_sub(target.on_demand.unwrap_or_default()));
         }
         if !settled {
-            for want in &mut wanted {
-                want.on_demand = None;
+            for target in &mut targets {
+                target.on_demand = None;
             }
         }
-        wanted
+        targets
     }
 
-    /// True once all engines may have been heard of.
+    /// True once all engines should be known.
     fn is_settled(&mut self, now: Duration) -> bool {
-        now >= *self.began.get_or_insert(now) + GATHER
+        now >= *self.started.get_or_insert(now) + SETTLE_TIME
     }
 
-    /// True where no spot engines have ever been ordered, as far as is known here.
-    fn is_fresh(&self, halls: &[HallEngines]) -> bool {
-        self.since.is_none() && halls.iter().all(|held| held.spot == 0)
+    /// True if the service has no spot engines and had no demand so far.
+    fn is_new(&self, halls: &[HallEngines]) -> bool {
+        self.demand_since.is_none() && halls.iter().all(|current| current.spot == 0)
     }
 
-    /// Engines needed for the demand that there is and that there was.
+    /// Records the demand and computes the engines needed for it and for that of the window.
     fn needs(&mut self, now: Duration, demand: Demand, halls: &[HallEngines], options: &ScaleOptions) -> Needs {
-        if !self.is_settled(now) || self.is_fresh(halls) {
-            self.first = self.first.max(count_bearing(halls, options));
+        if !self.is_settled(now) || self.is_new(halls) {
+            self.initial = self.initial.max(count_without_reserve(halls, options));
         }
         let hold = Duration::try_from_secs_f64(options.hold_seconds).unwrap_or_default();
-        let asked = f64::from(demand.calls) / (f64::from(demand.slots) * options.target_utilisation).max(1.0);
-        if asked > 0.0 {
-            self.since.get_or_insert(now);
+        let engines = f64::from(demand.calls) / (f64::from(demand.slots) * options.target_utilisation).max(1.0);
+        if engines > 0.0 {
+            self.demand_since.get_or_insert(now);
         }
-        if self.samples.back().is_none_or(|(at, _)| now >= *at + SAMPLE) {
-            self.samples.push_back((now, asked));
+        if self.samples.back().is_none_or(|(at, _)| now >= *at + SAMPLE_INTERVAL) {
+            self.samples.push_back((now, engines));
         }
         while self.samples.front().is_some_and(|(at, _)| now >= *at + hold) {
             self.samples.pop_front();
         }
-        let highest = |since: Duration| {
+        let peak_since = |since: Duration| {
             let recent = self.samples.iter().filter(|(at, _)| *at >= since);
-            recent.map(|(_, asked)| *asked).fold(asked, f64::max)
+            recent.map(|(_, engines)| *engines).fold(engines, f64::max)
         };
-        let peak = highest(Duration::ZERO);
-        // Until demand has been watched for as long as it is remembered, the operator's count stands.
-        let watched = self.since.is_some_and(|since| now >= since + hold);
-        let usual = if watched { 0 } else { self.first };
-        let pressing = highest(now.saturating_sub(PRESSING)) / options.overload_factor;
-        Needs { lasting: (peak.ceil() as u32).max(usual).max(1), pressing: pressing.ceil() as u32, usual }
+        let peak = peak_since(Duration::ZERO);
+        // The initial count applies until demand has been observed for a whole window.
+        let observed = self.demand_since.is_some_and(|since| now >= since + hold);
+        let initial = if observed { 0 } else { self.initial };
+        let urgent = peak_since(now.saturating_sub(URGENT_WINDOW)) / options.overload_factor;
+        Needs { sustained: (peak.ceil() as u32).max(initial).max(1), urgent: urgent.ceil() as u32, initial }
     }
 
-    /// Keeps spot engines that have just become spare: they stood in for a hall that lost its own, and may have to again.
-    fn keep_spare(&mut self, now: Duration, halls: &[HallEngines], wanted: &mut [DesiredEngines]) {
-        for (want, held) in wanted.iter_mut().zip(halls) {
-            if held.spot <= want.spot {
-                self.spare.remove(&held.hall);
+    /// Keeps spot engines that have just become surplus, in case another hall loses its own again.
+    fn keep_spare_spot(&mut self, now: Duration, halls: &[HallEngines], targets: &mut [DesiredEngines]) {
+        for (target, current) in targets.iter_mut().zip(halls) {
+            if current.spot <= target.spot {
+                self.spare_since.remove(&current.hall);
                 continue;
             }
-            let since = *self.spare.entry(held.hall.clone()).or_insert(now);
-            if now < since + SPARE_KEPT {
-                want.spot = held.spot;
+            let since = *self.spare_since.entry(current.hall.clone()).or_insert(now);
+            if now < since + SPARE_TIMEOUT {
+                target.spot = current.spot;
             }
         }
     }
 
-    /// Keeps on-demand engines beyond the plan until others have taken their place, and then lets those of one hall
-    /// go at a time.
-    fn keep_until_replaced(
+    /// Keeps surplus on-demand engines until others have replaced them, then releases them, under load in one hall at a
+    /// time.
+    fn keep_on_demand_until_replaced(
         &mut self,
         now: Duration,
         needs: Needs,
         bounds: &Bounds,
         (demand, halls): (Demand, &[HallEngines]),
-        wanted: &mut [DesiredEngines],
+        targets: &mut [DesiredEngines],
     ) {
-        let planned: u32 = wanted.iter().filter_map(|want| want.on_demand).sum();
-        let spot: u32 = halls.iter().map(|held| held.spot).sum();
-        let lacks = needs.usual.max(needs.pressing) > planned + spot;
+        let planned: u32 = targets.iter().filter_map(|target| target.on_demand).sum();
+        let spot: u32 = halls.iter().map(|current| current.spot).sum();
+        let short = needs.initial.max(needs.urgent) > planned + spot;
         let busy = demand.calls > 0;
-        for (want, held) in wanted.iter_mut().zip(halls) {
-            let extra = held.on_demand.saturating_sub(want.on_demand.unwrap_or_default());
-            if extra == 0 {
+        for (target, current) in targets.iter_mut().zip(halls) {
+            let surplus = current.on_demand.saturating_sub(target.on_demand.unwrap_or_default());
+            if surplus == 0 {
                 continue;
             }
-            let paused = busy && self.let_go.is_some_and(|at| now < at + LET_GO_PAUSE);
-            if lacks || paused {
-                want.on_demand = Some(held.on_demand.min(bounds.max));
+            let paused = busy && self.last_release.is_some_and(|at| now < at + RELEASE_INTERVAL);
+            if short || paused {
+                target.on_demand = Some(current.on_demand.min(bounds.max));
             } else {
-                self.let_go = Some(now);
+                self.last_release = Some(now);
             }
         }
     }
 }
 
-/// Engines that there are without the reserve for the loss of a hall: an instance that takes over must not take the
-/// reserve for needed and order one for it too.
-fn count_bearing(halls: &[HallEngines], options: &ScaleOptions) -> u32 {
-    let total: u32 = halls.iter().map(|held| held.on_demand + held.spot).sum();
-    let largest = halls.iter().map(|held| held.spot).max().unwrap_or_default();
+/// Number of existing engines without the reserve for the loss of a hall. An instance that takes over the policy must
+/// not count the reserve as needed and order a reserve on top of it.
+fn count_without_reserve(halls: &[HallEngines], options: &ScaleOptions) -> u32 {
+    let total: u32 = halls.iter().map(|current| current.on_demand + current.spot).sum();
+    let largest = halls.iter().map(|current| current.spot).max().unwrap_or_default();
     total - if options.reserve { largest } else { 0 }
 }
 
-/// A hall in the making of a plan.
-struct Place<'a> {
-    held: &'a HallEngines,
+/// Plan for one hall.
+struct HallPlan<'a> {
+    current: &'a HallEngines,
     price: f64,
-    /// Cheap ones are to be had here.
-    open: bool,
+    /// Spot engines can be ordered here.
+    spot_available: bool,
     on_demand: u32,
     spot: u32,
 }
 
-impl Place<'_> {
-    /// Cheap engines that can be counted on: what is ordered where none are to be had may come later.
-    fn counted(&self) -> u32 {
-        if self.open { self.spot } else { self.held.spot }
+impl HallPlan<'_> {
+    /// Spot engines that the plan relies on. Those ordered while unavailable may come later.
+    fn reliable_spot(&self) -> u32 {
+        if self.spot_available { self.spot } else { self.current.spot }
     }
 
+    /// On-demand engines that the bounds still allow.
     fn room(&self, bounds: &Bounds) -> u32 {
-        bounds.max.saturating_sub(self.on_demand + self.counted())
+        bounds.max.saturating_sub(self.on_demand + self.reliable_spot())
     }
 }
 
-/// Spreads what is needed over the halls.
+/// Distributes the needed engines over the halls.
 fn spread(needs: Needs, bounds: &Bounds, halls: &[HallEngines], options: &ScaleOptions) -> Vec<DesiredEngines> {
-    let to_place = |held| Place {
-        held,
-        price: bounds.prices.get(&held.hall).copied().unwrap_or(1.0),
-        open: bounds.spot_price.is_some() && !held.spot_unavailable,
+    let to_plan = |current| HallPlan {
+        current,
+        price: bounds.prices.get(&current.hall).copied().unwrap_or(1.0),
+        spot_available: bounds.spot_price.is_some() && !current.spot_unavailable,
         on_demand: 0,
         spot: 0,
     };
-    let needed = needs.lasting;
-    let mut places: Vec<Place> = halls.iter().map(to_place).collect();
-    let floor =
+    let needed = needs.sustained;
+    let mut plans: Vec<HallPlan> = halls.iter().map(to_plan).collect();
+    let min_on_demand =
         if bounds.spot_price.is_some() { (f64::from(needed) * options.on_demand_share).ceil() as u32 } else { 0 };
-    add_on_demand(floor, bounds, &mut places);
-    let count = places.iter().filter(|place| place.open).count() as u32;
+    add_on_demand(min_on_demand, bounds, &mut plans);
+    let available = plans.iter().filter(|plan| plan.spot_available).count() as u32;
     if bounds.spot_price.is_some() {
-        // Without one of the halls the others have to be enough. Where none are to be had anywhere, they are asked for all the
-        // same, and on-demand ones stay until they come.
-        let bearing = match count {
-            0 => places.len() as u32,
+        // With the reserve, the halls must be enough without one of them. If spot engines are unavailable everywhere,
+        // they are ordered in all halls, and the on-demand engines stay until they start.
+        let carrying = match available {
+            0 => plans.len() as u32,
             count if options.reserve && count > 1 => count - 1,
             count => count,
         };
-        let each = needed.saturating_sub(floor).div_ceil(bearing).max(bounds.min);
-        for place in &mut places {
-            place.spot = each.min(bounds.max.saturating_sub(place.on_demand));
+        let each = needed.saturating_sub(min_on_demand).div_ceil(carrying).max(bounds.min);
+        for plan in &mut plans {
+            plan.spot = each.min(bounds.max.saturating_sub(plan.on_demand));
         }
     }
-    let planned: u32 = places.iter().map(|place| place.on_demand + place.counted()).sum();
-    let bearing = if bounds.spot_price.is_some() { needs.pressing } else { needed };
-    add_on_demand(bearing.saturating_sub(planned), bounds, &mut places);
-    for place in &mut places {
-        place.on_demand += bounds.min.saturating_sub(place.on_demand + place.spot);
+    let planned: u32 = plans.iter().map(|plan| plan.on_demand + plan.reliable_spot()).sum();
+    let required = if bounds.spot_price.is_some() { needs.urgent } else { needed };
+    add_on_demand(required.saturating_sub(planned), bounds, &mut plans);
+    for plan in &mut plans {
+        plan.on_demand += bounds.min.saturating_sub(plan.on_demand + plan.spot);
     }
-    places
+    plans
         .iter()
-        .map(|place| DesiredEngines {
-            hall: place.held.hall.clone(),
-            on_demand: Some(place.on_demand),
-            spot: place.spot,
+        .map(|plan| DesiredEngines {
+            hall: plan.current.hall.clone(),
+            on_demand: Some(plan.on_demand),
+            spot: plan.spot,
         })
         .collect()
 }
 
-/// Adds on-demand engines, in turn to the halls with room, the cheapest first.
-fn add_on_demand(count: u32, bounds: &Bounds, places: &mut [Place]) {
+/// Adds on-demand engines one by one to the hall with room that has the fewest of them, the cheapest first.
+fn add_on_demand(count: u32, bounds: &Bounds, plans: &mut [HallPlan]) {
     for _ in 0..count {
-        let with_room = places.iter_mut().filter(|place| place.room(bounds) > 0);
+        let with_room = plans.iter_mut().filter(|plan| plan.room(bounds) > 0);
         let next =
             with_room.min_by(|one, other| one.on_demand.cmp(&other.on_demand).then(one.price.total_cmp(&other.price)));
         let Some(next) = next else { return };
--- a/crates/rudder-route/tests/scale.rs
+++ b/crates/rudder-route/tests/scale.rs
@@ -1,5 +1,5 @@
-//! How many engines a service should have: enough after the loss of a hall, spot where that is possible, never a step
-//! down before others have taken their place.
+//! Scaling: capacity survives the loss of a hall, spot engines are preferred, and on-demand engines are released only
+//! once they have been replaced.
 
 use std::time::Duration;
 
@@ -20,41 +20,41 @@
 }
 
 fn halls(on_demand: [u32; 3], spot: [u32; 3]) -> Vec<HallEngines> {
-    let hall = |at: usize| HallEngines {
-        hall: HALLS[at].into(),
-        on_demand: on_demand[at],
-        spot: spot[at],
+    let hall = |index: usize| HallEngines {
+        hall: HALLS[index].into(),
+        on_demand: on_demand[index],
+        spot: spot[index],
         spot_unavailable: false,
     };
     (0..3).map(hall).collect()
 }
 
-/// Demand that keeps so many engines as busy as they should be.
+/// Demand that brings this many engines to the target utilisation.
 fn demand(engines: u32) -> Demand {
     Demand { calls: (f64::from(engines * SLOTS) * ScaleOptions::default().target_utilisation) as u32, slots: SLOTS }
 }
 
-fn on_demand(wanted: &[DesiredEngines]) -> [u32; 3] {
-    [0, 1, 2].map(|at| wanted[at].on_demand.expect("it can be told"))
+fn on_demand(targets: &[DesiredEngines]) -> [u32; 3] {
+    [0, 1, 2].map(|index| targets[index].on_demand.expect("the count is known"))
 }
 
-fn spot(wanted: &[DesiredEngines]) -> [u32; 3] {
-    [wanted[0].spot, wanted[1].spot, wanted[2].spot]
+fn spot(targets: &[DesiredEngines]) -> [u32; 3] {
+    [targets[0].spot, targets[1].spot, targets[2].spot]
 }
 
 fn at(seconds: u64) -> Duration {
     Duration::from_secs(seconds)
 }
 
-/// The policy after it has seen `there` engines for a while, without any demand.
-fn started(there: [u32; 3]) -> Scaler {
-    started_with(there, [0; 3])
+/// A scaler whose first plan saw these on-demand engines and no demand.
+fn started(current: [u32; 3]) -> Scaler {
+    started_with(current, [0; 3])
 }
 
 fn started_with(on_demand: [u32; 3], spot: [u32; 3]) -> Scaler {
     let mut scaler = Scaler::default();
-    let wanted = scaler.plan(at(0), &bounds(), Demand::default(), &halls(on_demand, spot), &ScaleOptions::default());
-    assert!(wanted.iter().all(|want| want.on_demand.is_none()), "not all may have been heard of");
+    let targets = scaler.plan(at(0), &bounds(), Demand::default(), &halls(on_demand, spot), &ScaleOptions::default());
+    assert!(targets.iter().all(|target| target.on_demand.is_none()), "not all engines may be known yet");
     scaler
 }
 
@@ -75,133 +75,135 @@
 }
 
 cases! {
-    cheap_ones_are_ordered_first_and_the_others_kept: || {
+    spot_engines_are_ordered_first_and_on_demand_engines_kept: || {
         let mut scaler = started([20; 3]);
-        let wanted = plan(&mut scaler, 3, Demand::default(), &halls([20; 3], [0; 3]));
-        assert_eq!((on_demand(&wanted), spot(&wanted)), ([20; 3], [20; 3]), "up to the bound on both kinds");
+        let targets = plan(&mut scaler, 3, Demand::default(), &halls([20; 3], [0; 3]));
+        assert_eq!((on_demand(&targets), spot(&targets)), ([20; 3], [20; 3]), "up to the bound on both kinds");
     };
-    cheap_ones_are_ordered_while_the_others_are_still_heard_of: || {
+    spot_engines_are_ordered_before_all_engines_are_known: || {
         let mut scaler = started([20, 0, 0]);
-        let wanted = plan(&mut scaler, 1, Demand::default(), &halls([20, 20, 5], [0; 3]));
-        assert_eq!(spot(&wanted), [20, 20, 23], "45 are needed so far");
-        assert!(wanted.iter().all(|want| want.on_demand.is_none()));
+        let targets = plan(&mut scaler, 1, Demand::default(), &halls([20, 20, 5], [0; 3]));
+        assert_eq!(spot(&targets), [20, 20, 23], "45 are known to be needed");
+        assert!(targets.iter().all(|target| target.on_demand.is_none()));
     };
-    who_takes_over_orders_nothing_until_all_were_heard_of: || {
+    a_new_holder_orders_nothing_until_all_engines_are_known: || {
         let mut scaler = started_with([0; 3], [5, 0, 0]);
         assert_eq!(plan(&mut scaler, 1, demand(60), &halls([0; 3], [30, 30, 5])), []);
     };
-    the_others_go_when_cheap_ones_have_taken_their_place: || {
+    on_demand_engines_are_released_once_replaced: || {
         let mut scaler = started([20; 3]);
-        let wanted = plan(&mut scaler, 5, Demand::default(), &halls([20; 3], [20; 3]));
-        assert_eq!((on_demand(&wanted), spot(&wanted)), ([0; 3], [30; 3]), "60 are needed, also without one hall");
+        let targets = plan(&mut scaler, 5, Demand::default(), &halls([20; 3], [20; 3]));
+        assert_eq!((on_demand(&targets), spot(&targets)), ([0; 3], [30; 3]), "60 are needed, even without one hall");
     };
-    none_goes_while_cheap_ones_are_on_their_way: || {
+    no_engine_is_released_while_its_replacement_starts: || {
         let mut scaler = started([20, 19, 8]);
-        let wanted = plan(&mut scaler, 3, Demand::default(), &halls([20; 3], [0; 3]));
-        assert_eq!(on_demand(&wanted), [20; 3], "some were heard of late");
-        let wanted = plan(&mut scaler, 6, Demand::default(), &halls([20; 3], [20, 20, 0]));
-        assert_eq!(on_demand(&wanted), [20; 3]);
+        let targets = plan(&mut scaler, 3, Demand::default(), &halls([20; 3], [0; 3]));
+        assert_eq!(on_demand(&targets), [20; 3], "some engines became known late");
+        let targets = plan(&mut scaler, 6, Demand::default(), &halls([20; 3], [20, 20, 0]));
+        assert_eq!(on_demand(&targets), [20; 3]);
     };
-    engines_at_full_price_go_when_demand_presses_no_more: || {
+    on_demand_engines_are_released_after_urgent_demand: || {
         let mut scaler = started([20; 3]);
-        let mut there = halls([0; 3], [0, 0, 40]);
-        (there[0].spot_unavailable, there[1].spot_unavailable) = (true, true);
-        assert_eq!(on_demand(&plan(&mut scaler, 5, demand(120), &there)).iter().sum::<u32>(), 20);
-        let there = halls([10, 10, 0], [30, 30, 40]);
-        assert_eq!(on_demand(&plan(&mut scaler, 9, demand(30), &there)), [0, 10, 0], "one hall at a time");
+        let mut current = halls([0; 3], [0, 0, 40]);
+        (current[0].spot_unavailable, current[1].spot_unavailable) = (true, true);
+        assert_eq!(on_demand(&plan(&mut scaler, 5, demand(120), &current)).iter().sum::<u32>(), 20);
+        let current = halls([10, 10, 0], [30, 30, 40]);
+        assert_eq!(on_demand(&plan(&mut scaler, 9, demand(30), &current)), [0, 10, 0], "one hall at a time");
     };
-    under_load_the_others_go_hall_by_hall: || {
+    under_load_on_demand_engines_are_released_hall_by_hall: || {
         let mut scaler = started([20; 3]);
         let steps: Vec<[u32; 3]> = [5, 6, 9, 13].into_iter().zip([[20; 3], [0, 20, 20], [0, 20, 20], [0, 0, 20]])
-            .map(|(now, there)| on_demand(&plan(&mut scaler, now, demand(30), &halls(there, [30; 3]))))
+            .map(|(now, current)| on_demand(&plan(&mut scaler, now, demand(30), &halls(current, [30; 3]))))
             .collect();
         assert_eq!(steps, [[0, 20, 20], [0, 20, 20], [0, 0, 20], [0, 0, 0]]);
     };
-    more_demand_orders_more_at_once: || {
+    rising_demand_orders_more_engines_at_once: || {
         let mut scaler = started([20; 3]);
-        let wanted = plan(&mut scaler, 5, demand(72), &halls([0; 3], [30; 3]));
-        assert_eq!(spot(&wanted), [36; 3]);
+        let targets = plan(&mut scaler, 5, demand(72), &halls([0; 3], [30; 3]));
+        assert_eq!(spot(&targets), [36; 3]);
     };
-    who_takes_over_does_not_take_the_reserve_for_needed: || {
+    a_new_holder_does_not_count_the_reserve_as_needed: || {
         let mut scaler = started_with([0; 3], [30; 3]);
         assert_eq!(spot(&plan(&mut scaler, 5, demand(10), &halls([0; 3], [30; 3]))), [30; 3]);
     };
-    no_hall_has_more_than_allowed: || {
+    no_hall_exceeds_its_maximum: || {
         let mut scaler = started([20; 3]);
-        let wanted = plan(&mut scaler, 5, demand(500), &halls([0; 3], [30; 3]));
-        assert_eq!((on_demand(&wanted), spot(&wanted)), ([0; 3], [40; 3]));
+        let targets = plan(&mut scaler, 5, demand(500), &halls([0; 3], [30; 3]));
+        assert_eq!((on_demand(&targets), spot(&targets)), ([0; 3], [40; 3]));
     };
-    the_operators_count_stands_until_demand_was_watched: || {
+    the_initial_count_applies_until_demand_was_observed: || {
         let mut scaler = started([20; 3]);
-        let there = halls([0; 3], [30; 3]);
-        assert_eq!(spot(&plan(&mut scaler, 5, demand(10), &there)), [30; 3]);
-        assert_eq!(spot(&plan(&mut scaler, 124, demand(10), &there)), [30; 3]);
-        plan(&mut scaler, 126, demand(10), &there);
-        assert_eq!(spot(&plan(&mut scaler, 157, demand(10), &there)), [5; 3]);
+        let current = halls([0; 3], [30; 3]);
+        assert_eq!(spot(&plan(&mut scaler, 5, demand(10), &current)), [30; 3]);
+        assert_eq!(spot(&plan(&mut scaler, 124, demand(10), &current)), [30; 3]);
+        plan(&mut scaler, 126, demand(10), &current);
+        assert_eq!(spot(&plan(&mut scaler, 157, demand(10), &current)), [5; 3]);
     };
-    a_peak_is_remembered: || {
+    a_peak_counts_for_the_whole_window: || {
         let mut scaler = started([2; 3]);
-        let there = halls([0; 3], [10; 3]);
-        plan(&mut scaler, 5, demand(20), &there);
-        assert_eq!(spot(&plan(&mut scaler, 100, demand(1), &there)), [10; 3]);
+        let current = halls([0; 3], [10; 3]);
+        plan(&mut scaler, 5, demand(20), &current);
+        assert_eq!(spot(&plan(&mut scaler, 100, demand(1), &current)), [10; 3]);
     };
-    a_hall_without_cheap_ones_is_made_up_for_by_the_others: || {
+    other_halls_make_up_for_one_without_spot_engines: || {
         let mut scaler = started([20; 3]);
-        let mut there = halls([0; 3], [0, 30, 30]);
-        there[0].spot_unavailable = true;
-        let wanted = plan(&mut scaler, 5, demand(30), &there);
-        assert_eq!((on_demand(&wanted), spot(&wanted)), ([0; 3], [40; 3]), "the first is tried again later");
+        let mut current = halls([0; 3], [0, 30, 30]);
+        current[0].spot_unavailable = true;
+        let targets = plan(&mut scaler, 5, demand(30), &current);
+        let expected = ([0; 3], [40; 3]);
+        assert_eq!((on_demand(&targets), spot(&targets)), expected, "the first hall's are still ordered");
     };
-    where_cheap_ones_do_not_suffice_others_fill_in: || {
+    on_demand_engines_replace_missing_spot_engines: || {
         let mut scaler = started([20; 3]);
-        let mut there = halls([0; 3], [0, 0, 30]);
-        (there[0].spot_unavailable, there[1].spot_unavailable) = (true, true);
-        let wanted = plan(&mut scaler, 5, demand(120), &there);
-        assert_eq!(spot(&wanted)[2], 40);
-        assert_eq!(on_demand(&wanted).iter().sum::<u32>(), 20, "at twice the usual load 60 are needed: {wanted:?}");
-    };
-    at_full_price_no_more_fill_in_than_the_demand_presses_for: || {
+        let mut current = halls([0; 3], [0, 0, 30]);
+        (current[0].spot_unavailable, current[1].spot_unavailable) = (true, true);
+        let targets = plan(&mut scaler, 5, demand(120), &current);
+        assert_eq!(spot(&targets)[2], 40);
+        let added: u32 = on_demand(&targets).iter().sum();
+        assert_eq!(added, 20, "at twice the target utilisation 60 are needed: {targets:?}");
+    };
+    on_demand_engines_are_added_only_for_urgent_demand: || {
         let mut scaler = started([20; 3]);
-        let mut there = halls([0; 3], [0, 0, 30]);
-        (there[0].spot_unavailable, there[1].spot_unavailable) = (true, true);
-        let wanted = plan(&mut scaler, 5, demand(30), &there);
-        assert_eq!((on_demand(&wanted), spot(&wanted)[2]), ([0; 3], 40), "{wanted:?}");
+        let mut current = halls([0; 3], [0, 0, 30]);
+        (current[0].spot_unavailable, current[1].spot_unavailable) = (true, true);
+        let targets = plan(&mut scaler, 5, demand(30), &current);
+        assert_eq!((on_demand(&targets), spot(&targets)[2]), ([0; 3], 40), "{targets:?}");
     };
-    cheap_ones_that_have_become_spare_are_kept_for_a_while: || {
+    surplus_spot_engines_are_kept_for_a_while: || {
         let mut scaler = started([20; 3]);
-        let there = halls([0; 3], [30, 40, 40]);
-        assert_eq!(spot(&plan(&mut scaler, 5, demand(30), &there)), [30, 40, 40]);
-        assert_eq!(spot(&plan(&mut scaler, 34, demand(30), &there)), [30, 40, 40]);
-        assert_eq!(spot(&plan(&mut scaler, 36, demand(30), &there)), [30, 30, 30]);
+        let current = halls([0; 3], [30, 40, 40]);
+        assert_eq!(spot(&plan(&mut scaler, 5, demand(30), &current)), [30, 40, 40]);
+        assert_eq!(spot(&plan(&mut scaler, 34, demand(30), &current)), [30, 40, 40]);
+        assert_eq!(spot(&plan(&mut scaler, 36, demand(30), &current)), [30, 30, 30]);
     };
-    without_cheap_ones_the_cheapest_halls_have_room_first: || {
+    without_spot_engines_the_cheapest_halls_are_filled_first: || {
         let bounds = Bounds { spot_price: None, ..bounds() };
-        let (mut scaler, there) = (started([1, 1, 0]), halls([1, 1, 0], [0; 3]));
-        let wanted = scaler.plan(at(3), &bounds, demand(7), &there, &ScaleOptions::default());
-        assert_eq!((on_demand(&wanted), spot(&wanted)), ([3, 2, 2], [0; 3]));
+        let (mut scaler, current) = (started([1, 1, 0]), halls([1, 1, 0], [0; 3]));
+        let targets = scaler.plan(at(3), &bounds, demand(7), &current, &ScaleOptions::default());
+        assert_eq!((on_demand(&targets), spot(&targets)), ([3, 2, 2], [0; 3]));
     };
-    every_hall_has_its_least: || {
+    every_hall_has_its_minimum: || {
         let bounds = Bounds { min: 4, ..bounds() };
-        let (mut scaler, there) = (started([1, 0, 0]), halls([1, 0, 0], [0; 3]));
-        let wanted = scaler.plan(at(3), &bounds, Demand::default(), &there, &ScaleOptions::default());
-        assert!(wanted.iter().all(|want| want.on_demand.unwrap_or_default() + want.spot >= 4), "{wanted:?}");
+        let (mut scaler, current) = (started([1, 0, 0]), halls([1, 0, 0], [0; 3]));
+        let targets = scaler.plan(at(3), &bounds, Demand::default(), &current, &ScaleOptions::default());
+        assert!(targets.iter().all(|target| target.on_demand.unwrap_or_default() + target.spot >= 4), "{targets:?}");
     };
 }
 
-/// Whatever is there and asked for: no hall beyond its bounds, and after the loss of any hall's spot engines what is left
-/// carries the demand, unless the bounds do not allow that.
+/// Every hall stays within its bounds, and after the loss of all spot engines of any hall the rest serves the demand,
+/// unless each hall is at its maximum.
 #[test]
 fn the_loss_of_a_hall_leaves_enough() {
     for needed in 1..150 {
         let mut scaler = started([20; 3]);
-        let there = halls([0; 3], [30; 3]);
-        let wanted = plan(&mut scaler, 5, demand(needed), &there);
-        let count = |want: &DesiredEngines| want.on_demand.expect("it can be told") + want.spot;
-        let total: u32 = wanted.iter().map(count).sum();
-        for want in &wanted {
-            assert!((1..=40).contains(&count(want)), "{wanted:?}");
-            let capped = wanted.iter().all(|want| count(want) == 40);
-            assert!(total - want.spot >= needed.max(60) || capped, "{needed}: {wanted:?}");
+        let current = halls([0; 3], [30; 3]);
+        let targets = plan(&mut scaler, 5, demand(needed), &current);
+        let count = |target: &DesiredEngines| target.on_demand.expect("the count is known") + target.spot;
+        let total: u32 = targets.iter().map(count).sum();
+        for target in &targets {
+            assert!((1..=40).contains(&count(target)), "{targets:?}");
+            let capped = targets.iter().all(|target| count(target) == 40);
+            assert!(total - target.spot >= needed.max(60) || capped, "{needed}: {targets:?}");
         }
     }
 }
