--- a/crates/rudder-route/src/preempt.rs
+++ b/crates/rudder-route/src/preempt.rs
@@ -46,7 +46,8 @@
         }
     }
 
-    /// The request of the lowest tier that started last, so that the least work is delayed. Those in `chosen` are skipped.
+    /// The request of the lowest tier that started last, so that the least work is delayed. Those in `chosen` are
+    /// skipped.
     fn find_victim(&self, now: Duration, waiting: &Waiting, chosen: &[(RequestId, RequestId)]) -> Option<RequestId> {
         let mut best: Option<(u8, Duration, RequestId)> = None;
         for state in self.usable(now, &waiting.request) {
