--- a/crates/rudder-core/src/lives.rs
+++ b/crates/rudder-core/src/lives.rs
@@ -1,10 +1,9 @@
 //! Which life of an endpoint's name is the latest.
 //!
-//! A replica may start again under the name that it had, and knows nothing of before. Its start, by its own clock, tells the
-//! lives apart: the later one replaces the earlier, whose words may still come late and count for nothing. The clock may have
-//! stepped back between two starts, so that the later life bears the earlier time. Such a life is taken for the latest once
-//! the other has fallen silent while it goes on speaking: what was held up on its way comes at once, not over time. It goes
-//! unused until the other is shown as silent, and one heartbeat, or for [`DOUBT`] where that is longer.
+//! An endpoint may restart under the same name. Its lives are ordered by start time, by its own clock: the later one
+//! replaces the earlier, whose late heartbeats are ignored. If the clock stepped back between two starts, the later life has
+//! the earlier start time. Such a life replaces the other once that one has become silent while its own heartbeats go on for
+//! [`MIN_CANDIDACY`]; delayed heartbeats would arrive in a burst.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -12,24 +11,24 @@
 
 use crate::registry::{Phase, Registration};
 
-/// A life with an earlier start must speak for so long, with rising sequence numbers, before it can follow a later one:
-/// nearly two of the usual 1.2 s between heartbeats.
-const DOUBT: Duration = Duration::from_secs(2);
+/// How long a life with an earlier start must send heartbeats before it can replace a later one: nearly two of the usual
+/// intervals of 1.2 s.
+const MIN_CANDIDACY: Duration = Duration::from_secs(2);
 
-/// What a word's life is to the other lives of its name.
+/// How the life in a heartbeat relates to the other lives of its name.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// The latest, or the only one known.
+    /// It is the latest or the only known one.
     Latest,
-    /// It follows this one.
-    Follows(EndpointId),
-    /// An earlier one, or none that can be told.
-    Late,
+    /// It replaces this one.
+    Replaces(EndpointId),
+    /// It is an earlier one, or can't be ordered.
+    Stale,
 }
 
-/// A life with an earlier start than the latest known.
+/// A life with an earlier start than the latest one, which it may still replace.
 #[derive(Clone, Debug)]
-struct Doubt {
+struct Candidate {
     life: EndpointId,
     since: Duration,
     sequence: u64,
@@ -39,38 +38,39 @@
 struct Life {
     endpoint: EndpointId,
     born: Born,
-    doubt: Option<Box<Doubt>>,
+    candidate: Option<Box<Candidate>>,
 }
 
-/// The latest life of each name that tells its starts. Others have one life, known by the name alone.
+/// The latest life of each name that reports start times. Other names have a single life.
 #[derive(Clone, Debug, Default)]
 pub struct Lives {
     latest: HashMap<Arc<str>, Life>,
 }
 
 impl Lives {
-    /// Judges a word whose life is `held` or not; `unheard` tells for how long a life has not been heard of, and `silence`
-    /// after how long it has fallen silent.
-    pub fn judge(
+    /// Relates the life in a heartbeat to the others of its name. `held` is true if its life is in the registry, `unheard`
+    /// returns the time since a life's last heartbeat, and `silence` is the time after which a life counts as silent.
+    pub fn classify(
         &mut self,
         now: Duration,
-        said: &Registration,
+        heartbeat: &Registration,
         held: bool,
         silence: Duration,
         unheard: impl Fn(&EndpointId) -> Duration,
     ) -> Standing {
-        let Some(latest) = self.latest.get_mut(said.name()) else { return Standing::Latest };
-        if latest.endpoint == said.endpoint {
-            latest.doubt = None;
+        let Some(latest) = self.latest.get_mut(heartbeat.name()) else { return Standing::Latest };
+        if latest.endpoint == heartbeat.endpoint {
+            latest.candidate = None;
             return Standing::Latest;
         }
-        // A life that is held was replaced. A word without a start, of an endpoint that tells it, is another writer's.
-        let Some(born) = said.born.filter(|_| !held) else { return Standing::Late };
+        // A life in the registry that isn't the latest was replaced. A heartbeat without a start time, for a name that
+        // reports them, comes from another sender.
+        let Some(born) = heartbeat.born.filter(|_| !held) else { return Standing::Stale };
         let later = latest.born < born;
-        if later || latest.note_doubt(now, said, unheard(&latest.endpoint) >= silence) {
-            return Standing::Follows(latest.endpoint.clone());
+        if later || latest.observe_candidate(now, heartbeat, unheard(&latest.endpoint) >= silence) {
+            return Standing::Replaces(latest.endpoint.clone());
         }
-        Standing::Late
+        Standing::Stale
     }
 
     /// Sets the latest life of a name.
@@ -79,30 +79,30 @@
         if self.latest.get(life.name()).is_some_and(|latest| latest.endpoint == life.endpoint) {
             return;
         }
-        let next = Life { endpoint: life.endpoint.clone(), born, doubt: None };
+        let next = Life { endpoint: life.endpoint.clone(), born, candidate: None };
         self.latest.insert(life.name().into(), next);
     }
 
-    /// Records what the leader told of lives: it knows which one replaced which. A later life, heard here first, stays.
-    /// Returns the lives, known here, that others have followed by it.
-    pub fn learn<'a>(&mut self, told: impl Iterator<Item = &'a Arc<Registration>> + Clone) -> Vec<EndpointId> {
-        let mut followed = Vec::new();
-        for life in told.clone().filter(|life| life.phase == Phase::Replaced) {
+    /// Applies entries of the leader, which knows which life replaced which. A later life that only this instance knows
+    /// stays the latest. Returns the lives that others have replaced.
+    pub fn apply<'a>(&mut self, entries: impl Iterator<Item = &'a Arc<Registration>> + Clone) -> Vec<EndpointId> {
+        let mut replaced = Vec::new();
+        for life in entries.clone().filter(|life| life.phase == Phase::Replaced) {
             if self.latest.get(life.name()).is_some_and(|latest| latest.endpoint == life.endpoint) {
                 self.latest.remove(life.name());
             }
         }
-        for life in told.filter(|life| life.phase != Phase::Replaced) {
+        for life in entries.filter(|life| life.phase != Phase::Replaced) {
             match self.latest.get(life.name()) {
                 Some(latest) if latest.endpoint == life.endpoint => {}
-                Some(latest) if Some(latest.born) >= life.born => followed.push(life.endpoint.clone()),
+                Some(latest) if Some(latest.born) >= life.born => replaced.push(life.endpoint.clone()),
                 latest => {
-                    followed.extend(latest.map(|latest| latest.endpoint.clone()));
+                    replaced.extend(latest.map(|latest| latest.endpoint.clone()));
                     self.set(life);
                 }
             }
         }
-        followed
+        replaced
     }
 
     /// Drops the lives that are no longer known.
@@ -112,18 +112,18 @@
 }
 
 impl Life {
-    /// Records the word of a life with an earlier start. Returns whether it has outlived this one, which may be `silent`.
-    fn note_doubt(&mut self, now: Duration, said: &Registration, silent: bool) -> bool {
-        let speaks = self.doubt.as_mut().filter(|doubt| doubt.life == said.endpoint);
-        let Some(doubt) = speaks else {
-            let doubt = Doubt { life: said.endpoint.clone(), since: now, sequence: said.sequence };
-            self.doubt = Some(Box::new(doubt));
+    /// Records a heartbeat of a life with an earlier start. Returns whether it has outlived this one, which may be `silent`.
+    fn observe_candidate(&mut self, now: Duration, heartbeat: &Registration, silent: bool) -> bool {
+        let known = self.candidate.as_mut().filter(|candidate| candidate.life == heartbeat.endpoint);
+        let Some(candidate) = known else {
+            let candidate = Candidate { life: heartbeat.endpoint.clone(), since: now, sequence: heartbeat.sequence };
+            self.candidate = Some(Box::new(candidate));
             return false;
         };
-        if said.sequence <= doubt.sequence {
+        if heartbeat.sequence <= candidate.sequence {
             return false;
         }
-        doubt.sequence = said.sequence;
-        now >= doubt.since + DOUBT && silent
+        candidate.sequence = heartbeat.sequence;
+        now >= candidate.since + MIN_CANDIDACY && silent
     }
 }
--- a/crates/rudder-core/src/registry/mod.rs
+++ b/crates/rudder-core/src/registry/mod.rs
@@ -1,8 +1,9 @@
-//! Endpoints that register themselves: soft state that every instance may hear first and the leader
-//! spreads. Nothing of it is durable: after a loss it is rebuilt from the next heartbeats.
+//! Registry of endpoints that register themselves by heartbeats. Any instance may receive a heartbeat first; the leader
+//! replicates the entries to all. The registry is soft state: after a loss it is rebuilt from the next heartbeats.
 //!
-//! An entry is one life of an endpoint. A replica that starts again under its name is another life, told apart by the time
-//! of its start; the later one replaces the earlier at once. Which life of a name is the latest: [`crate::lives`].
+//! An entry is one life of an endpoint, that is, one run of its process. An endpoint that restarts under its name begins
+//! another life, identified by its start time; the later life replaces the earlier at once. [`crate::lives`] decides which
+//! life of a name is the latest.
 
 mod scope;
 
@@ -18,75 +19,75 @@
     subset::{Scope, Subsets},
 };
 
-/// An endpoint unheard for this many times the time after which it is shown as silent is taken off.
-const FORGET: u32 = 6;
-/// An endpoint that has just started says so in one of its first heartbeats; a later one may be old.
-const FIRST_HEARTBEATS: u64 = 2;
-/// Lives held at most: twice the endpoints that the system is built for. More are not heard, so that a writer that makes up
-/// names cannot take the memory.
-const HELD_MOST: usize = 24_000;
-/// An endpoint that has ended is remembered for this long, so that a late heartbeat does not revive it. A life that was
-/// replaced need not be: the later one, as long as it is known, keeps it from coming back.
-const REMEMBER_GONE: Duration = Duration::from_secs(120);
+/// An endpoint without heartbeats is dropped after this many times the period after which it counts as silent.
+const DROP_AFTER_SILENCES: u32 = 6;
+/// Highest sequence number with which an unknown endpoint may take over an address in use; a higher one may come from a
+/// delayed heartbeat.
+const MAX_FIRST_SEQUENCE: u64 = 2;
+/// Most lives held: twice the supported number of endpoints. Bounds the memory that a sender of invented names can take.
+const MAX_LIVES: usize = 24_000;
+/// How long an endpoint that has ended is kept, so that a late heartbeat doesn't revive it. A replaced life needs no such
+/// period, since the later life rejects its heartbeats.
+const GONE_RETENTION: Duration = Duration::from_secs(120);
 
-/// Where an endpoint stands in its life.
+/// The state of one life of an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Phase {
-    /// It takes work.
+    /// Accepts requests.
     Ready,
-    /// Its heartbeats have stopped; it may be down or only out of reach of control.
+    /// Its heartbeats have stopped; it is down, or only its heartbeats don't arrive.
     Silent,
-    /// It takes no new work and ends soon.
+    /// Draining: it accepts no new requests and ends soon.
     Leaving,
-    /// It has said that it ends, or another has its address; what runs there may still be answered.
+    /// It has reported its end, or another endpoint has its address; requests in flight may still be answered.
     Gone,
-    /// A later life has its name: nothing runs there any more.
+    /// A later life has its name, so nothing runs there any more.
     Replaced,
 }
 
-/// What an endpoint says of itself in a heartbeat.
+/// The content of an endpoint's heartbeat, which is also its registry entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Registration {
-    /// One life of the endpoint.
+    /// Identifies one life of the endpoint.
     pub endpoint: EndpointId,
-    /// When that began, where the endpoint tells it.
+    /// When that life began, if the endpoint reports it.
     #[serde(default)]
     pub born: Option<Born>,
     /// The service it belongs to.
     pub service: Arc<str>,
-    /// Where it is reached, IP:PORT.
+    /// Its address, `IP:PORT`.
     pub address: Arc<str>,
     /// Its hall.
     pub hall: HallId,
-    /// Requests it works on at once.
+    /// Requests that it processes concurrently.
     pub slots: u32,
-    /// It may be taken away at short notice, and costs less.
+    /// Runs on cheaper capacity that may be reclaimed at short notice.
     #[serde(default)]
     pub cheap: bool,
-    /// It has just started, or has gone cold, and bears few requests for some time.
+    /// Has just started or lost its caches, and takes only a few requests for some time.
     #[serde(default)]
     pub warming: bool,
-    /// The leader keeps it back: enough others of its service and hall are in use ([`crate::subset`]).
+    /// Held in reserve by the leader, since enough others of its service and hall are in use ([`crate::subset`]).
     #[serde(default)]
     pub standby: bool,
-    /// Where it stands.
+    /// State of this life.
     pub phase: Phase,
-    /// Rises with each heartbeat, so that a late one is known.
+    /// Increases with each heartbeat, so that late ones are recognised.
     pub sequence: u64,
 }
 
 impl Registration {
-    /// The name that the endpoint bears in all its lives.
+    /// The name that all lives of the endpoint share.
     pub fn name(&self) -> &str {
         id::name_of(&self.endpoint, self.born)
     }
 
-    /// The same in another phase.
+    /// A copy in another phase.
     fn in_phase(&self, phase: Phase) -> Arc<Registration> {
         Arc::new(Registration { phase, ..self.clone() })
     }
 
-    /// The end of a life that is not known here, but may be elsewhere.
+    /// Creates a report that a life has ended. The life may be unknown here and known to other instances.
     pub fn end_of(name: &str, born: Option<Born>, hall: HallId) -> Registration {
         Registration {
             endpoint: id::life_id(name, born),
@@ -107,41 +108,41 @@
 /// What an instance lacks of the leader's registry.
 pub type RegistryDelta = MapDelta<EndpointId, Arc<Registration>>;
 
-/// All endpoints heard of.
+/// All known endpoints.
 #[derive(Clone, Debug)]
 pub struct Registry {
-    /// Shared with all who hold a copy: there are thousands, and few of them change.
+    /// Entries are shared between copies of the registry: there are thousands, and few of them change.
     entries: DeltaMap<EndpointId, Arc<Registration>>,
-    /// When each was last heard of, here.
-    heard: HashMap<EndpointId, Duration>,
-    /// The last endpoint that came at each address.
+    /// When this instance last received a heartbeat or an update of each.
+    last_heard: HashMap<EndpointId, Duration>,
+    /// The endpoint that last registered at each address.
     addresses: HashMap<Arc<str>, EndpointId>,
     /// The latest life of each name.
     lives: Lives,
-    /// An endpoint unheard for this long is shown as silent.
+    /// An endpoint without heartbeats for this long counts as silent.
     silence: Duration,
-    /// Which endpoints are told to whom, at the leader.
+    /// Which endpoints are sent to which hall; used at the leader.
     subsets: Subsets,
-    /// What this instance is not told of, by the last answer.
+    /// Which endpoints this instance receives, as of the last answer.
     scope: Option<Scope>,
-    /// It is told everything all the same, as it may lead next.
-    whole: bool,
+    /// It receives all endpoints whatever the scope, since it may become the leader.
+    unscoped: bool,
 }
 
-/// The life that another one of its name replaces.
+/// The life that a newer one of its name replaces, if any.
 #[derive(Debug)]
-struct Before {
+struct Replaced {
     life: Option<Arc<Registration>>,
 }
 
 /// What a heartbeat changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing but when it was last heard.
+    /// Only the time of the last heartbeat.
     None,
-    /// The endpoint is new, or something of it has changed.
+    /// The endpoint is new or its entry has changed.
     Entry,
-    /// It takes no more work from now on.
+    /// An endpoint accepts no more requests from now on.
     Leave,
 }
 
@@ -152,77 +153,77 @@
 }
 
 impl Registry {
-    /// An empty one, in which endpoints unheard for `silence` are shown as silent.
+    /// Creates an empty registry in which endpoints without heartbeats for `silence` count as silent.
     pub fn new(silence: Duration) -> Registry {
         Registry {
             entries: DeltaMap::default(),
-            heard: HashMap::new(),
+            last_heard: HashMap::new(),
             addresses: HashMap::new(),
             lives: Lives::default(),
             silence,
             subsets: Subsets::default(),
             scope: None,
-            whole: false,
+            unscoped: false,
         }
     }
 
-    /// Version of its content; the leader's term stands in the upper half.
+    /// Version of the content; the upper half is the leader's term.
     pub fn version(&self) -> Version {
         self.entries.version()
     }
 
-    /// All endpoints, those that have ended included.
+    /// All endpoints, including those that have ended.
     pub fn iter(&self) -> impl Iterator<Item = &Arc<Registration>> {
         self.entries.values()
     }
 
-    /// Records what an endpoint said, at an instance that does not lead.
+    /// Records a heartbeat, at an instance that isn't the leader.
     pub fn record_heartbeat(&mut self, now: Duration, registration: &Registration) -> Change {
-        let told = self.whole || self.scope.is_none() || self.entries.get(&registration.endpoint).is_some();
-        if !told {
-            // Were it used here, this instance would not be told when it leaves.
+        let in_scope = self.unscoped || self.scope.is_none() || self.entries.get(&registration.endpoint).is_some();
+        if !in_scope {
+            // This instance would not learn when the endpoint drains.
             return Change::None;
         }
-        self.take_in(now, registration, false, DeltaMap::set_local)
+        self.record(now, registration, false, DeltaMap::set_local)
     }
 
-    /// Records what an endpoint said, at the leader.
+    /// Records a heartbeat, at the leader.
     pub fn record_heartbeat_as_leader(&mut self, now: Duration, registration: &Registration) -> Change {
-        self.take_in(now, registration, true, DeltaMap::set)
+        self.record(now, registration, true, DeltaMap::set)
     }
 
-    /// Records what an endpoint said; `leads` at the leader, where `put` puts in what others should know of.
-    fn take_in(
+    /// Records a heartbeat; `leads` is true at the leader. `put` stores the entries that have changed.
+    fn record(
         &mut self,
         now: Duration,
-        said: &Registration,
+        heartbeat: &Registration,
         leads: bool,
         put: impl Fn(&mut DeltaMap<EndpointId, Arc<Registration>>, EndpointId, Arc<Registration>),
     ) -> Change {
-        let Some(before) = self.find_before(now, said, leads) else { return Change::None };
-        let other = self.other_at(now, said).filter(|other| other.name() != said.name());
-        let is_older = |other: &Arc<Registration>| match (other.born, said.born) {
-            (Some(other), Some(said)) => said < other,
-            _ => said.sequence > FIRST_HEARTBEATS,
+        let Some(replaced) = self.find_replaced(now, heartbeat, leads) else { return Change::None };
+        let other = self.other_at_address(now, heartbeat).filter(|other| other.name() != heartbeat.name());
+        let is_older = |other: &Arc<Registration>| match (other.born, heartbeat.born) {
+            (Some(other), Some(heartbeat)) => heartbeat < other,
+            _ => heartbeat.sequence > MAX_FIRST_SEQUENCE,
         };
         if other.as_ref().is_some_and(is_older) {
-            // A heartbeat that was held up on its way, of an endpoint that has ended since.
+            // A delayed heartbeat of an endpoint that has ended since.
             return Change::None;
         }
-        let Some((next, mut change)) = self.judge(now, said, leads) else { return Change::None };
+        let Some((next, mut change)) = self.update(now, heartbeat, leads) else { return Change::None };
         if let Some(ended) = other {
             put(&mut self.entries, ended.endpoint.clone(), ended.in_phase(Phase::Gone));
             change = Change::Leave;
         }
-        if let Some(before) = before.life {
-            put(&mut self.entries, before.endpoint.clone(), before.in_phase(Phase::Replaced));
+        if let Some(replaced) = replaced.life {
+            put(&mut self.entries, replaced.endpoint.clone(), replaced.in_phase(Phase::Replaced));
             change = Change::Leave;
         }
         self.lives.set(&next);
         self.addresses.insert(next.address.clone(), next.endpoint.clone());
         let endpoint = next.endpoint.clone();
         if change == Change::None {
-            // A sequence number alone is not told to all.
+            // A change of the sequence number alone isn't replicated.
             self.entries.set_unversioned(&endpoint, next);
         } else {
             put(&mut self.entries, endpoint, next);
@@ -230,51 +231,53 @@
         change
     }
 
-    /// The life that a word's life replaces, if it does; `None` for a word that counts for nothing.
-    fn find_before(&mut self, now: Duration, said: &Registration, leads: bool) -> Option<Before> {
-        let held = self.entries.get(&said.endpoint).is_some();
-        if !held && self.entries.len() >= HELD_MOST {
+    /// The life that the one in a heartbeat replaces; `None` if the heartbeat is to be ignored.
+    fn find_replaced(&mut self, now: Duration, heartbeat: &Registration, leads: bool) -> Option<Replaced> {
+        let held = self.entries.get(&heartbeat.endpoint).is_some();
+        if !held && self.entries.len() >= MAX_LIVES {
             return None;
         }
-        // Only the leader hears every word, and so whether a life has fallen silent.
-        let unheard = |life: &EndpointId| match self.heard.get(life) {
+        // Only the leader receives all heartbeats and can tell that a life has become silent.
+        let unheard = |life: &EndpointId| match self.last_heard.get(life) {
             Some(heard) if leads => now.saturating_sub(*heard),
             Some(_) => Duration::ZERO,
             None => Duration::MAX,
         };
-        match self.lives.judge(now, said, held, self.silence, unheard) {
-            // A name that has told no start so far has one life, which bears it.
-            Standing::Latest => Some(Before { life: said.born.and_then(|_| self.entries.get(said.name()).cloned()) }),
-            Standing::Follows(before) => Some(Before { life: self.entries.get(&before).cloned() }),
-            Standing::Late => None,
+        match self.lives.classify(now, heartbeat, held, self.silence, unheard) {
+            // Until a start time is reported, a name has a single life, whose id is the name.
+            Standing::Latest => {
+                Some(Replaced { life: heartbeat.born.and_then(|_| self.entries.get(heartbeat.name()).cloned()) })
+            }
+            Standing::Replaces(earlier) => Some(Replaced { life: self.entries.get(&earlier).cloned() }),
+            Standing::Stale => None,
         }
     }
 
-    /// The endpoint that another one, unknown so far, wants to follow at its address, where it was heard of late.
-    fn other_at(&self, now: Duration, said: &Registration) -> Option<Arc<Registration>> {
-        if said.phase != Phase::Ready || self.entries.get(&said.endpoint).is_some() {
+    /// The endpoint that has sent heartbeats recently from the address of one that is unknown so far.
+    fn other_at_address(&self, now: Duration, heartbeat: &Registration) -> Option<Arc<Registration>> {
+        if heartbeat.phase != Phase::Ready || self.entries.get(&heartbeat.endpoint).is_some() {
             return None;
         }
-        let other = self.entries.get(self.addresses.get(&said.address)?)?;
-        let heard = self.heard.get(&other.endpoint).is_some_and(|heard| now < *heard + self.silence);
-        (heard && other.phase < Phase::Gone).then(|| other.clone())
+        let other = self.entries.get(self.addresses.get(&heartbeat.address)?)?;
+        let recent = self.last_heard.get(&other.endpoint).is_some_and(|heard| now < *heard + self.silence);
+        (recent && other.phase < Phase::Gone).then(|| other.clone())
     }
 
-    /// What an endpoint's word makes of its entry; `None` for a word that comes too late.
-    fn judge(&mut self, now: Duration, said: &Registration, leads: bool) -> Option<(Arc<Registration>, Change)> {
-        let Some(held) = self.entries.get(&said.endpoint) else {
-            self.heard.insert(said.endpoint.clone(), now);
-            let change = if said.phase >= Phase::Leaving { Change::Leave } else { Change::Entry };
-            let standby = leads && said.phase == Phase::Ready && self.subsets.admit(said);
-            return Some((Arc::new(Registration { standby, ..said.clone() }), change));
+    /// The entry of an endpoint after its heartbeat; `None` if the heartbeat came too late.
+    fn update(&mut self, now: Duration, heartbeat: &Registration, leads: bool) -> Option<(Arc<Registration>, Change)> {
+        let Some(held) = self.entries.get(&heartbeat.endpoint) else {
+            self.last_heard.insert(heartbeat.endpoint.clone(), now);
+            let change = if heartbeat.phase >= Phase::Leaving { Change::Leave } else { Change::Entry };
+            let standby = leads && heartbeat.phase == Phase::Ready && self.subsets.starts_in_standby(heartbeat);
+            return Some((Arc::new(Registration { standby, ..heartbeat.clone() }), change));
         };
-        let ended = said.phase == Phase::Gone;
-        if held.phase >= Phase::Gone || (!ended && said.sequence <= held.sequence) {
+        let ended = heartbeat.phase == Phase::Gone;
+        if held.phase >= Phase::Gone || (!ended && heartbeat.sequence <= held.sequence) {
             return None;
         }
-        self.heard.insert(said.endpoint.clone(), now);
-        let sequence = said.sequence.max(held.sequence);
-        let next = Registration { sequence, standby: held.standby, ..said.clone() };
+        self.last_heard.insert(heartbeat.endpoint.clone(), now);
+        let sequence = heartbeat.sequence.max(held.sequence);
+        let next = Registration { sequence, standby: held.standby, ..heartbeat.clone() };
         let same = Registration { sequence, ..Registration::clone(held) } == next;
         let leaves = next.phase >= Phase::Leaving && next.phase != held.phase;
         let change = match (same, leaves) {
@@ -285,24 +288,25 @@
         Some((Arc::new(next), change))
     }
 
-    /// Starts a leader's version numbers for `term` and counts every endpoint as just heard of.
+    /// Starts the version numbers of the leader of `term`. The silence of every endpoint counts from now.
     pub fn begin_term(&mut self, now: Duration, term: u64) {
         self.entries.begin_term(term);
-        self.heard = self.entries.keys().map(|endpoint| (endpoint.clone(), now)).collect();
+        self.last_heard = self.entries.keys().map(|endpoint| (endpoint.clone(), now)).collect();
         let live = self.entries.values().filter(|held| held.phase < Phase::Gone);
         self.addresses = live.map(|held| (held.address.clone(), held.endpoint.clone())).collect();
         self.lives = Lives::default();
-        let followed = self.lives.learn(self.entries.values());
-        self.replace(followed, DeltaMap::set);
+        let replaced = self.lives.apply(self.entries.values());
+        self.mark_replaced(replaced, DeltaMap::set);
     }
 
-    /// Ages the leader's entries: the unheard become silent, then are dropped.
+    /// Marks endpoints without heartbeats as silent, and later drops them; at the leader.
     pub fn expire(&mut self, now: Duration) {
-        let unheard = |endpoint: &EndpointId| now.saturating_sub(self.heard.get(endpoint).copied().unwrap_or_default());
+        let unheard =
+            |endpoint: &EndpointId| now.saturating_sub(self.last_heard.get(endpoint).copied().unwrap_or_default());
         let mut dropped = Vec::new();
         let mut silent = Vec::new();
         for held in self.entries.values() {
-            let kept = if held.phase == Phase::Gone { REMEMBER_GONE } else { self.silence * FORGET };
+            let kept = if held.phase == Phase::Gone { GONE_RETENTION } else { self.silence * DROP_AFTER_SILENCES };
             if unheard(&held.endpoint) >= kept {
                 dropped.push(held.endpoint.clone());
             } else if held.phase == Phase::Ready && unheard(&held.endpoint) >= self.silence {
@@ -311,47 +315,47 @@
         }
         for endpoint in &dropped {
             self.entries.remove(endpoint);
-            self.heard.remove(endpoint);
+            self.last_heard.remove(endpoint);
         }
         if !dropped.is_empty() {
-            self.forget_unknown();
+            self.prune_indexes();
         }
         for registration in silent {
             self.entries.set(registration.endpoint.clone(), registration);
         }
     }
 
-    /// Records what the leader spread. An endpoint's own later word, heard here, stays. Returns whether any endpoint
-    /// takes no more work now that did before.
-    pub fn apply_delta(&mut self, now: Duration, news: RegistryDelta) -> bool {
-        let leaves = |told: &Arc<Registration>| {
-            let before = self.entries.get(&told.endpoint).map(|held| held.phase);
-            told.phase >= Phase::Leaving && before.is_none_or(|before| before < Phase::Leaving)
+    /// Applies a delta of the leader. A later heartbeat received here takes precedence. Returns whether any endpoint
+    /// has stopped accepting requests by it.
+    pub fn apply_delta(&mut self, now: Duration, delta: RegistryDelta) -> bool {
+        let leaves = |entry: &Arc<Registration>| {
+            let before = self.entries.get(&entry.endpoint).map(|held| held.phase);
+            entry.phase >= Phase::Leaving && before.is_none_or(|before| before < Phase::Leaving)
         };
-        let left = news.entries.iter().any(|told| leaves(&told.value));
-        let told: Vec<EndpointId> = news.entries.iter().map(|told| told.key.clone()).collect();
-        let live = news.entries.iter().filter(|told| told.value.phase < Phase::Leaving);
-        let live: Vec<_> = live.map(|told| (told.value.address.clone(), told.key.clone())).collect();
-        let removes = news.whole || !news.removed.is_empty();
-        let (heard, silence) = (&self.heard, self.silence);
-        let recent = |endpoint: &EndpointId| heard.get(endpoint).is_some_and(|heard| now < *heard + silence);
-        let taken = self.entries.apply(news, is_later, |endpoint, _| recent(endpoint));
-        if taken {
-            self.heard.extend(told.iter().map(|endpoint| (endpoint.clone(), now)));
+        let left = delta.entries.iter().any(|entry| leaves(&entry.value));
+        let updated: Vec<EndpointId> = delta.entries.iter().map(|entry| entry.key.clone()).collect();
+        let live = delta.entries.iter().filter(|entry| entry.value.phase < Phase::Leaving);
+        let live: Vec<_> = live.map(|entry| (entry.value.address.clone(), entry.key.clone())).collect();
+        let removes = delta.whole || !delta.removed.is_empty();
+        let (last_heard, silence) = (&self.last_heard, self.silence);
+        let recent = |endpoint: &EndpointId| last_heard.get(endpoint).is_some_and(|heard| now < *heard + silence);
+        let applied = self.entries.apply(delta, is_current, |endpoint, _| recent(endpoint));
+        if applied {
+            self.last_heard.extend(updated.iter().map(|endpoint| (endpoint.clone(), now)));
             self.addresses.extend(live);
-            let told = told.iter().filter_map(|endpoint| self.entries.get(endpoint));
-            let followed = self.lives.learn(told);
-            self.replace(followed, DeltaMap::set_local);
+            let updated = updated.iter().filter_map(|endpoint| self.entries.get(endpoint));
+            let replaced = self.lives.apply(updated);
+            self.mark_replaced(replaced, DeltaMap::set_local);
         }
-        if taken && removes {
-            self.heard.retain(|endpoint, _| self.entries.get(endpoint).is_some());
-            self.forget_unknown();
+        if applied && removes {
+            self.last_heard.retain(|endpoint, _| self.entries.get(endpoint).is_some());
+            self.prune_indexes();
         }
-        taken && left
+        applied && left
     }
 
-    /// Notes that later lives have followed these.
-    fn replace(
+    /// Marks lives that later ones have replaced.
+    fn mark_replaced(
         &mut self,
         lives: Vec<EndpointId>,
         put: impl Fn(&mut DeltaMap<EndpointId, Arc<Registration>>, EndpointId, Arc<Registration>),
@@ -363,29 +367,29 @@
         }
     }
 
-    /// Drops what has ended long ago, at an instance that does not lead.
+    /// Drops endpoints that ended long ago, at an instance that isn't the leader.
     pub fn forget_gone(&mut self, now: Duration) {
-        let heard = &self.heard;
-        let old = |endpoint: &EndpointId| heard.get(endpoint).is_none_or(|heard| now >= *heard + REMEMBER_GONE);
+        let last_heard = &self.last_heard;
+        let old = |endpoint: &EndpointId| last_heard.get(endpoint).is_none_or(|heard| now >= *heard + GONE_RETENTION);
         let before = self.entries.len();
         self.entries.retain_local(|endpoint, held| held.phase < Phase::Gone || !old(endpoint));
-        // This comes with every tick, and what is kept beside thousands of entries takes long to look through.
+        // Runs on every tick, and scanning the indexes of thousands of entries is slow.
         if self.entries.len() != before {
-            self.forget_unknown();
+            self.prune_indexes();
         }
     }
 
-    /// Drops what is kept beside entries that are no more.
-    fn forget_unknown(&mut self) {
+    /// Removes dropped entries from the indexes.
+    fn prune_indexes(&mut self) {
         self.addresses.retain(|_, endpoint| self.entries.get(endpoint).is_some());
         self.lives.retain(|endpoint| self.entries.get(endpoint).is_some());
     }
 }
 
-/// True where what the leader tells of an endpoint is not older than what is held.
-fn is_later(held: &Arc<Registration>, told: &Arc<Registration>) -> bool {
-    if told.phase >= Phase::Gone {
-        return told.phase > held.phase;
+/// True if the leader's entry of an endpoint isn't older than the one held.
+fn is_current(held: &Arc<Registration>, received: &Arc<Registration>) -> bool {
+    if received.phase >= Phase::Gone {
+        return received.phase > held.phase;
     }
-    held.phase < Phase::Gone && held.sequence <= told.sequence
+    held.phase < Phase::Gone && held.sequence <= received.sequence
 }
--- a/crates/rudder-core/src/subset.rs
+++ b/crates/rudder-core/src/subset.rs
@@ -1,13 +1,12 @@
-//! Subsets: of many endpoints, which ones the instances of a hall are told of.
+//! Subsets: which endpoints the instances of a hall receive.
 //!
-//! Hundreds of instances cannot all know thousands of endpoints: what they are told, and the loads that they exchange, would
-//! grow with the product. Nor need they: a hall's instances share the requests of its callers, for which a few hundred of the
-//! hall's endpoints are enough. So of each service and hall the leader keeps endpoints above a number in standby, which
-//! are told to nobody but those who may lead next; and the instances of a hall that has enough endpoints of a service are not
-//! told those of other halls. All instances of a hall are told the same ones, so that they agree where a session's prompt is
-//! kept. Who is told of an endpoint is told all that becomes of it.
+//! If hundreds of instances knew thousands of endpoints, the updates and loads that they exchange would grow with the product
+//! of both. A few hundred endpoints are enough for the callers of a hall. So the leader keeps the endpoints of a service and
+//! hall above a number in standby, which only the possible next leaders receive, and a hall with enough endpoints of a
+//! service doesn't receive those of other halls. All instances of a hall receive the same subset, so that they agree on
+//! which endpoint caches a session's prompt, and they receive all updates of the endpoints in it.
 //!
-//! More are taken out of standby where endpoints are lost, or where half of the slots of those in use are taken.
+//! Endpoints leave standby when others are lost, or when half of the slots in use are taken.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -19,43 +18,42 @@
     registry::{Phase, Registration},
 };
 
-/// Endpoints of a service in a hall that are in use as long as they are enough: a few hundred instances have room for all
-/// their requests there, and for sessions to be spread over many engines.
-const USED: usize = 256;
-/// Endpoints of its own hall from which on an instance is told none of other halls.
-const LOCAL_FROM: usize = USED / 2;
-/// Fewer, and it is told those of other halls again.
-const LOCAL_LEAST: usize = LOCAL_FROM / 2;
-/// Part of the slots in use from which on more endpoints are needed.
-const CROWDED: f64 = 0.5;
-/// Part of the slots in use below which a hall's own endpoints are enough again.
-const IDLE: f64 = 0.25;
-
-/// What an instance is not told of, as whoever answers it says.
+/// Endpoints of a service in a hall that are in use by default; enough for the requests of a few hundred instances.
+const DEFAULT_USED: usize = 256;
+/// With this many endpoints of its own, a hall doesn't receive those of other halls.
+const LOCAL_MIN_USED: usize = DEFAULT_USED / 2;
+/// With fewer endpoints of its own, it receives those of other halls again.
+const WIDEN_BELOW_USED: usize = LOCAL_MIN_USED / 2;
+/// Fraction of the slots taken from which on more endpoints are needed.
+const HIGH_UTILISATION: f64 = 0.5;
+/// Fraction of the slots taken below which a hall's own endpoints are enough again.
+const LOW_UTILISATION: f64 = 0.25;
+
+/// Which endpoints an instance receives, as sent by the leader or relay that answers it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Scope {
-    /// Services whose endpoints of other halls it is not told of.
+    /// Services of which it receives only the endpoints of its own hall.
     pub local: Vec<Arc<str>>,
-    /// Services whose endpoints of other halls it was not told of, and is again.
+    /// Services of which it receives the endpoints of other halls again.
     pub widened: Vec<Widened>,
 }
 
-/// A service whose endpoints of other halls are told again.
+/// A service of which the endpoints of other halls are sent again.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Widened {
     /// The service.
     pub service: Arc<str>,
-    /// Version of the registry since which they are.
+    /// Registry version since which they are.
     pub version: Version,
 }
 
 impl Scope {
-    /// True where the instances of `hall` are told of `held`.
+    /// True if the instances of `hall` receive `held`.
     pub fn includes(&self, hall: &HallId, held: &Registration) -> bool {
         !held.standby && (held.hall == *hall || !self.local.contains(&held.service))
     }
 
-    /// Version since which the instances of `hall` are told of `held`, where they were not always.
+    /// Registry version since which the instances of `hall` receive `held`; 0 if they always have.
     pub fn included_since(&self, hall: &HallId, held: &Registration) -> Version {
         let widened = self.widened.iter().find(|widened| widened.service == held.service);
         widened.filter(|_| held.hall != *hall).map_or(0, |widened| widened.version)
@@ -65,55 +63,56 @@
 /// The endpoints of one service in one hall.
 #[derive(Clone, Debug, Default)]
 struct Group {
-    /// Those in use that are ready.
+    /// Number of ready ones in use.
     used: usize,
-    /// Those that are ready and in standby.
+    /// Ready ones in standby.
     standby: Vec<EndpointId>,
-    /// How many should be in use.
+    /// Number that should be in use, if above the default.
     wanted: usize,
-    /// The instances of the hall are told no others.
+    /// The instances of the hall receive no endpoints of other halls.
     local: bool,
-    /// Version since which they are told the others again.
+    /// Registry version since which they receive those again; 0 if never.
     widened: Version,
-    /// Requests under way at those in use, and their slots.
+    /// Requests in flight at those in use.
     calls: u32,
+    /// Slots of those in use.
     slots: u32,
 }
 
 impl Group {
-    fn is_busier_than(&self, part: f64) -> bool {
-        f64::from(self.calls) >= f64::from(self.slots) * part
+    fn is_utilised(&self, fraction: f64) -> bool {
+        f64::from(self.calls) >= f64::from(self.slots) * fraction
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Place {
+struct GroupKey {
     service: Arc<str>,
     hall: HallId,
 }
 
-/// All groups, at the leader.
+/// The groups of all services and halls, at the leader.
 #[derive(Clone, Debug, Default)]
 pub struct Subsets {
-    groups: BTreeMap<Place, Group>,
+    groups: BTreeMap<GroupKey, Group>,
 }
 
-fn place_of(held: &Registration) -> Place {
-    Place { service: held.service.clone(), hall: held.hall.clone() }
+fn group_key(held: &Registration) -> GroupKey {
+    GroupKey { service: held.service.clone(), hall: held.hall.clone() }
 }
 
 impl Subsets {
-    /// True where a new endpoint is to wait in standby: enough of its service and hall are in use.
-    pub fn admit(&mut self, new: &Registration) -> bool {
-        let group = self.groups.entry(place_of(new)).or_default();
-        if group.used >= group.wanted.max(USED) {
+    /// Counts a new endpoint. Returns true if it starts in standby, since enough of its service and hall are in use.
+    pub fn starts_in_standby(&mut self, new: &Registration) -> bool {
+        let group = self.groups.entry(group_key(new)).or_default();
+        if group.used >= group.wanted.max(DEFAULT_USED) {
             return true;
         }
         group.used += 1;
         false
     }
 
-    /// Counts all endpoints anew; `calls` tells the requests under way at one. Returns those to be taken out of standby.
+    /// Recounts all endpoints; `calls` returns the requests in flight at one. Returns those that leave standby.
     pub fn recount<'a>(
         &mut self,
         entries: impl Iterator<Item = &'a Arc<Registration>>,
@@ -123,8 +122,7 @@
             *group = Group { wanted: group.wanted, local: group.local, widened: group.widened, ..Group::default() };
         }
         for held in entries.filter(|held| held.phase == Phase::Ready) {
-            // Most belong to a group that is known.
-            let group = self.groups.entry(place_of(held)).or_default();
+            let group = self.groups.entry(group_key(held)).or_default();
             if held.standby {
                 group.standby.push(held.endpoint.clone());
                 continue;
@@ -133,41 +131,42 @@
             group.slots += held.slots;
             group.calls += calls(held);
         }
-        let mut called = Vec::new();
+        let mut activated = Vec::new();
         for group in self.groups.values_mut() {
-            if group.is_busier_than(CROWDED) {
+            if group.is_utilised(HIGH_UTILISATION) {
                 group.wanted = group.wanted.max(group.used * 2);
             }
-            let lacking = group.wanted.max(USED).saturating_sub(group.used);
-            let taken = group.standby.len().min(lacking);
-            called.extend(group.standby.drain(..taken));
-            group.used += taken;
+            let missing = group.wanted.max(DEFAULT_USED).saturating_sub(group.used);
+            let count = group.standby.len().min(missing);
+            activated.extend(group.standby.drain(..count));
+            group.used += count;
         }
-        called
+        activated
     }
 
-    /// Decides anew which halls have enough endpoints of their own; `next` gives the version of a change.
-    pub fn decide(&mut self, mut next: impl FnMut() -> Version) {
+    /// Updates which halls have enough endpoints of their own; `next_version` returns the version of a change.
+    pub fn update_locality(&mut self, mut next_version: impl FnMut() -> Version) {
         for group in self.groups.values_mut() {
-            let short = group.used < LOCAL_LEAST || (group.is_busier_than(CROWDED) && group.standby.is_empty());
+            let short =
+                group.used < WIDEN_BELOW_USED || (group.is_utilised(HIGH_UTILISATION) && group.standby.is_empty());
             if group.local && short {
                 group.local = false;
-                group.widened = next();
-            } else if !group.local && group.used >= LOCAL_FROM && !group.is_busier_than(IDLE) {
+                group.widened = next_version();
+            } else if !group.local && group.used >= LOCAL_MIN_USED && !group.is_utilised(LOW_UTILISATION) {
                 group.local = true;
             }
         }
     }
 
-    /// What the instances of `hall` are not told of; `None` where all are told everything.
+    /// Which endpoints the instances of `hall` receive; `None` if all instances receive all.
     pub fn scope_of(&self, hall: &HallId) -> Option<Scope> {
         let partial = self.groups.values().any(|group| group.local || group.widened > 0 || !group.standby.is_empty());
         if !partial {
             return None;
         }
         let mut scope = Scope::default();
-        for (place, group) in self.groups.iter().filter(|(place, _)| place.hall == *hall) {
-            let service = place.service.clone();
+        for (key, group) in self.groups.iter().filter(|(key, _)| key.hall == *hall) {
+            let service = key.service.clone();
             if group.local {
                 scope.local.push(service);
             } else if group.widened > 0 {
