--- a/crates/rudder-core/src/delta_map.rs
+++ b/crates/rudder-core/src/delta_map.rs
@@ -1,22 +1,22 @@
-//! Entries that a leader keeps and spreads as deltas: whoever holds an older version is told what changed since.
+//! A map that a leader replicates by deltas: the holder of an older version receives what has changed since.
 //!
-//! Versions are the leader's term in the upper half and a counter in the lower. A new leader goes on from the copy
-//! that it has, so those who hold no more than that copy need only what changed after it; the versions at which
-//! leaders followed each other are kept to tell them from those who saw entries that the new leader never had.
+//! A version is the leader's term in the upper half and a counter in the lower. A new leader starts from its own copy, so
+//! the holders of an earlier state of that copy need only a delta. The last version of each earlier leader is kept as the
+//! lineage, to recognise copies with entries that the new leader never received; they get the whole map.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 use serde::{Deserialize, Serialize};
 
-/// A version of the entries: the leader's term in the upper half, a counter in the lower.
+/// A version of a map: the leader's term in the upper half, a counter in the lower.
 pub type Version = u64;
 
-/// Removals remembered; who has missed more of them is told everything.
-const REMOVED_MOST: usize = 512;
-/// Changes of leader remembered; who holds a copy from before is told everything.
-const LINEAGE_MOST: usize = 8;
+/// Most removals kept; a copy that has missed more of them receives the whole map.
+const MAX_REMOVALS: usize = 512;
+/// Most changes of leader kept; a copy from before them receives the whole map.
+const MAX_LINEAGE: usize = 8;
 
-/// An entry as it is told.
+/// An entry in a delta.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VersionedEntry<K, V> {
     /// Its key.
@@ -27,23 +27,23 @@
     pub changed: Version,
 }
 
-/// What a holder of an older version lacks.
+/// What the holder of an older version lacks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MapDelta<K, V> {
-    /// The version that this leads to.
+    /// The version after this delta.
     pub version: Version,
-    /// All there is, not only what changed.
+    /// It holds all entries, not only the changed ones.
     pub whole: bool,
-    /// Entries that are new or have changed.
+    /// New and changed entries.
     pub entries: Vec<VersionedEntry<K, V>>,
-    /// Keys that were removed, each with the version of its removal.
+    /// Removed keys, each with the version of its removal.
     pub removed: Vec<(K, Version)>,
-    /// The last version of each earlier leader that the leaders after it went on from, oldest first.
+    /// The version from which each later leader started, oldest first.
     pub lineage: Vec<Version>,
 }
 
 impl<K, V> MapDelta<K, V> {
-    /// True where it says more than that nothing has changed up to its version.
+    /// True if it holds anything besides a newer version number.
     pub fn has_changes(&self) -> bool {
         self.whole || !self.entries.is_empty() || !self.removed.is_empty()
     }
@@ -52,23 +52,22 @@
 #[derive(Clone, Debug)]
 struct Item<V> {
     value: V,
-    /// Version of the last change that a leader made.
+    /// Version of the last change by a leader; 0 if there is none.
     changed: Version,
-    /// Learned here and not, or not so, from a leader.
+    /// Set by this instance, and not yet confirmed by a leader.
     local: bool,
 }
 
-/// The entries, at the leader or as a copy.
+/// The map, at the leader or as a copy.
 #[derive(Clone, Debug)]
 pub struct DeltaMap<K, V> {
     items: BTreeMap<K, Item<V>>,
     removed: BTreeMap<K, Version>,
     version: Version,
-    /// Removals up to this version may be forgotten.
+    /// Removals up to this version may be missing from `removed`.
     forgotten: Version,
     lineage: VecDeque<Version>,
-    /// The keys of what leaders told, by the version of its last change: of thousands of entries few have changed since a
-    /// question before.
+    /// Keys by the version of their last change by a leader, so that a delta needs no scan of all entries.
     by_change: BTreeSet<(Version, K)>,
 }
 
@@ -96,7 +95,7 @@
         self.items.len()
     }
 
-    /// True where there are none.
+    /// True if there are no entries.
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
@@ -120,12 +119,12 @@
         self.items.values().map(|item| &item.value)
     }
 
-    /// Begins the versions of a leader of `term`. What was learned here alone is told to all from now on.
+    /// Starts the versions of the leader of `term`. Entries set by this instance are replicated from now on.
     pub fn begin_term(&mut self, term: u64) {
         if self.version != 0 {
             self.lineage.push_back(self.version);
         }
-        if self.lineage.len() > LINEAGE_MOST {
+        if self.lineage.len() > MAX_LINEAGE {
             self.lineage.pop_front();
         }
         self.version = term << 32;
@@ -136,7 +135,7 @@
         }
     }
 
-    /// Sets the version at which an entry changed last, and whether it was learned here.
+    /// Sets the version of an entry's last change, and whether it was set by this instance.
     fn mark(&mut self, key: &K, changed: Version, local: bool) {
         let Some(item) = self.items.get_mut(key) else { return };
         self.by_change.remove(&(item.changed, key.clone()));
@@ -154,25 +153,25 @@
         self.items.insert(key, Item { value, changed, local });
     }
 
-    /// Drops an entry. Returns whether there was one.
+    /// Drops an entry. Returns whether it existed.
     fn drop_entry(&mut self, key: &K) -> bool {
         let Some(item) = self.items.remove(key) else { return false };
         self.by_change.remove(&(item.changed, key.clone()));
         true
     }
 
-    fn retain(&mut self, kept: impl Fn(&K, &Item<V>) -> bool) {
+    fn retain(&mut self, keep: impl Fn(&K, &Item<V>) -> bool) {
         let by_change = &mut self.by_change;
         self.items.retain(|key, item| {
-            let keeps = kept(key, item);
-            if !keeps {
+            let kept = keep(key, item);
+            if !kept {
                 by_change.remove(&(item.changed, key.clone()));
             }
-            keeps
+            kept
         });
     }
 
-    /// The leader's own change of an entry; the same value again is none.
+    /// Sets an entry, at the leader. An equal value is no change.
     pub fn set(&mut self, key: K, value: V) {
         if self.items.get(&key).is_some_and(|item| item.value == value && !item.local) {
             return;
@@ -182,21 +181,21 @@
         self.insert(key, value, self.version, false);
     }
 
-    /// The leader's change of a value that nobody else needs to know of; there is no new version of it.
+    /// Sets the value of an entry at the leader without a new version, so that it isn't replicated.
     pub fn set_unversioned(&mut self, key: &K, value: V) {
         if let Some(item) = self.items.get_mut(key) {
             item.value = value;
         }
     }
 
-    /// The leader's removal of an entry, where there is one.
+    /// Removes an entry, at the leader.
     pub fn remove(&mut self, key: &K) {
         if !self.drop_entry(key) {
             return;
         }
         self.version += 1;
         self.removed.insert(key.clone(), self.version);
-        if self.removed.len() > REMOVED_MOST {
+        if self.removed.len() > MAX_REMOVALS {
             self.forget_oldest_removal();
         }
     }
@@ -208,58 +207,58 @@
         self.forgotten = self.forgotten.max(version);
     }
 
-    /// Puts in what was learned here; the leader's next word on it may replace it.
+    /// Sets an entry at a copy. The leader's next change of it may replace it.
     pub fn set_local(&mut self, key: K, value: V) {
         let changed = self.items.get(&key).map_or(0, |item| item.changed);
         self.insert(key, value, changed, true);
     }
 
-    /// Drops entries here alone, where `kept` says so; a leader uses [`DeltaMap::remove`].
-    pub fn retain_local(&mut self, kept: impl Fn(&K, &V) -> bool) {
-        self.retain(|key, item| kept(key, &item.value));
+    /// Keeps the entries for which `keep` is true, without replicating the removals; a leader uses [`DeltaMap::remove`].
+    pub fn retain_local(&mut self, keep: impl Fn(&K, &V) -> bool) {
+        self.retain(|key, item| keep(key, &item.value));
     }
 
-    /// Drops entries here that no leader has told, and those that `kept` does not name.
-    pub fn retain_replicated(&mut self, kept: impl Fn(&V) -> bool) {
-        self.retain(|_, item| item.changed > 0 && kept(&item.value));
+    /// Keeps the entries that came from a leader and for which `keep` is true.
+    pub fn retain_replicated(&mut self, keep: impl Fn(&V) -> bool) {
+        self.retain(|_, item| item.changed > 0 && keep(&item.value));
     }
 
-    /// Takes the entries held for none of what the leader holds, so that all is told again.
+    /// Resets the version, so that the leader sends all entries again.
     pub fn reset_version(&mut self) {
         self.version = 0;
     }
 
-    /// What the holder of `held` lacks; `None` where that is nothing, or where it holds something newer.
+    /// The delta for a copy at version `held`; `None` if the copy isn't older than this map.
     pub fn delta_since(&self, held: Version) -> Option<MapDelta<K, V>> {
         self.delta_for(held, usize::MAX, false, |_| Some(0))
     }
 
-    /// What the holder of `held` lacks of the entries that it is told of, the oldest `most` of it. `told_since` says of a value
-    /// since which version it is told of it, if at all; `anew` is true where it may be told since after `held` of what has not
-    /// changed since.
+    /// The delta for a copy at version `held` that receives only some entries, limited to about `limit` entries with the
+    /// oldest changes. `included_since` returns the version since which the copy receives a value, or `None` if it doesn't.
+    /// `rescan` must be true if that may be later than `held` for a value that hasn't changed since.
     pub fn delta_for(
         &self,
         held: Version,
-        most: usize,
-        anew: bool,
-        told_since: impl Fn(&V) -> Option<Version>,
+        limit: usize,
+        rescan: bool,
+        included_since: impl Fn(&V) -> Option<Version>,
     ) -> Option<MapDelta<K, V>> {
         if held >= self.version {
             return None;
         }
-        // Who holds nothing lacks no removals.
+        // An empty copy lacks no removals.
         let whole = held > 0 && !self.has_prefix(held);
-        let to_told = |(at, key): &(Version, K)| {
+        let to_entry = |(at, key): &(Version, K)| {
             let value = &self.items.get(key)?.value;
-            let changed = told_since(value)?.max(*at);
+            let changed = included_since(value)?.max(*at);
             (whole || changed > held).then(|| VersionedEntry { key: key.clone(), value: value.clone(), changed })
         };
-        let all = whole || anew;
+        let all = whole || rescan;
         let first = if all { 0 } else { held };
         let known = self.by_change.iter().rev().take_while(|(changed, _)| *changed > first);
-        let mut entries: Vec<VersionedEntry<K, V>> = known.filter_map(to_told).collect();
+        let mut entries: Vec<VersionedEntry<K, V>> = known.filter_map(to_entry).collect();
         entries.reverse();
-        let version = if whole { self.version } else { truncate(&mut entries, most).unwrap_or(self.version) };
+        let version = if whole { self.version } else { truncate(&mut entries, limit).unwrap_or(self.version) };
         let removed = self.removed.iter().filter(|(_, at)| !whole && held > 0 && **at > held && **at <= version);
         Some(MapDelta {
             version,
@@ -270,13 +269,13 @@
         })
     }
 
-    /// A new version, in which no entry has changed.
+    /// Starts a new version without a change of an entry.
     pub fn advance(&mut self) -> Version {
         self.version += 1;
         self.version
     }
 
-    /// True where the copy at `held` is an earlier state of this one whose removals since are all known.
+    /// True if the copy at version `held` is an earlier state of this map and all removals since are known.
     fn has_prefix(&self, held: Version) -> bool {
         let term = |version: Version| version >> 32;
         let same = term(held) == term(self.version);
@@ -284,51 +283,51 @@
         held > 0 && held >= self.forgotten && (same || followed)
     }
 
-    /// Applies news, unless they are older than what is held. `accepts` tells of a held and a told value whether the
-    /// told one replaces it; `keeps` tells which entries stay that the news no longer name.
+    /// Applies a delta, unless it is older than this copy. `accepts` returns whether a received value, its second argument,
+    /// replaces the one held; `keeps` returns whether an entry that the leader removed stays. Returns whether it was applied.
     pub fn apply(
         &mut self,
-        news: MapDelta<K, V>,
+        delta: MapDelta<K, V>,
         accepts: impl Fn(&V, &V) -> bool,
         keeps: impl Fn(&K, &V) -> bool,
     ) -> bool {
-        if news.version <= self.version {
+        if delta.version <= self.version {
             return false;
         }
         if self.version == 0 {
-            // What was removed before is not told to who holds nothing.
-            self.forgotten = news.version;
+            // The delta for an empty copy holds no removals.
+            self.forgotten = delta.version;
         }
-        self.version = news.version;
-        self.lineage = news.lineage.into();
-        if news.whole {
-            self.forgotten = news.version;
+        self.version = delta.version;
+        self.lineage = delta.lineage.into();
+        if delta.whole {
+            self.forgotten = delta.version;
             self.removed.clear();
-            let named: BTreeSet<&K> = news.entries.iter().map(|told| &told.key).collect();
+            let named: BTreeSet<&K> = delta.entries.iter().map(|entry| &entry.key).collect();
             self.retain(|key, item| named.contains(key) || keeps(key, &item.value));
             let kept: Vec<K> = self.items.keys().filter(|key| !named.contains(key)).cloned().collect();
             for key in kept {
                 self.mark(&key, 0, true);
             }
         }
-        for told in news.entries {
-            self.take_entry(told, &accepts);
+        for entry in delta.entries {
+            self.take_entry(entry, &accepts);
         }
-        for (key, version) in news.removed {
+        for (key, version) in delta.removed {
             match self.items.get(&key) {
                 Some(item) if keeps(&key, &item.value) => self.mark(&key, 0, true),
                 _ => drop(self.drop_entry(&key)),
             }
             self.removed.insert(key, version);
         }
-        while self.removed.len() > REMOVED_MOST {
+        while self.removed.len() > MAX_REMOVALS {
             self.forget_oldest_removal();
         }
         true
     }
 
-    fn take_entry(&mut self, told: VersionedEntry<K, V>, accepts: &impl Fn(&V, &V) -> bool) {
-        let VersionedEntry { key, value, changed } = told;
+    fn take_entry(&mut self, entry: VersionedEntry<K, V>, accepts: &impl Fn(&V, &V) -> bool) {
+        let VersionedEntry { key, value, changed } = entry;
         self.removed.remove(&key);
         match self.items.get(&key) {
             Some(held) if !accepts(&held.value, &value) => self.mark(&key, changed, true),
@@ -337,15 +336,15 @@
     }
 }
 
-/// Leaves the `most` entries that changed first, and those that changed with the last of them. Returns the version up to which
-/// they go, where any are left out.
-fn truncate<K, V>(entries: &mut Vec<VersionedEntry<K, V>>, most: usize) -> Option<Version> {
-    if entries.len() <= most {
+/// Keeps the `limit` entries that changed first, and those of the same version as the last of them. Returns that version if
+/// entries were left out.
+fn truncate<K, V>(entries: &mut Vec<VersionedEntry<K, V>>, limit: usize) -> Option<Version> {
+    if entries.len() <= limit {
         return None;
     }
-    entries.sort_by_key(|told| told.changed);
-    let last = entries.get(most.checked_sub(1)?)?.changed;
-    let kept = entries.partition_point(|told| told.changed <= last);
+    entries.sort_by_key(|entry| entry.changed);
+    let last = entries.get(limit.checked_sub(1)?)?.changed;
+    let kept = entries.partition_point(|entry| entry.changed <= last);
     let left_out = kept < entries.len();
     entries.truncate(kept);
     left_out.then_some(last)
--- a/crates/rudder-core/src/limits.rs
+++ b/crates/rudder-core/src/limits.rs
@@ -1,45 +1,44 @@
-//! Rate limits that endpoints name in their answers, as all instances know them.
+//! Rate limits that endpoints name in their answers, shared between all instances.
 //!
-//! An instance tells those whom it asks for news what endpoints said to it and to those who ask it, and is told what all
-//! others learned. The latest word on an endpoint holds everywhere. Changes are told with each exchange for a while, and
-//! everything now and then, so that what is told costs little and a lost message delays a change by seconds at most.
+//! An instance sends the limits that it and its downstream instances learned to its upstream, a relay or the leader, and
+//! receives those of all others. The latest report on an endpoint wins. Every exchange carries the recent changes, and every
+//! few seconds all limits, so that exchanges stay small and a lost message delays a change by seconds at most.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use rudder_model::{EndpointTag, RequestRate};
 use serde::{Deserialize, Serialize};
 
-/// A change is told with each exchange for this long.
-const RECENT: Duration = Duration::from_secs(2);
-/// Everything is told once in this time.
-const COMPLETE: Duration = Duration::from_secs(5);
-/// What is known of an endpoint is kept for this long after its last word, where the endpoint itself is not known here or has
-/// no limit any more.
-const KEEP: Duration = Duration::from_secs(60);
-/// A later word that says the same is taken in only where it is so much later: a word comes back a little later than it was
-/// sent, and must not outdate what the endpoint said meanwhile.
-const ECHO: Duration = Duration::from_secs(1);
-
-/// What an endpoint last said of its rate limit.
+/// How long each exchange carries a change.
+const CHANGE_PERIOD: Duration = Duration::from_secs(2);
+/// Interval at which all limits are sent.
+const FULL_SYNC_INTERVAL: Duration = Duration::from_secs(5);
+/// How long the last report on an endpoint is kept if the endpoint is unknown here or its limit has ended.
+const RETENTION: Duration = Duration::from_secs(60);
+/// A report with an unchanged rate must be this much later than the known one to replace it. A report that comes back from
+/// others seems a little later than it is, and must not override what the endpoint reported meanwhile.
+const SAME_RATE_MARGIN: Duration = Duration::from_secs(1);
+
+/// The last report on an endpoint's rate limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LimitReport {
-    /// The endpoint, in short.
+    /// The endpoint.
     pub endpoint: EndpointTag,
-    /// The limit; `None` where it has ended.
+    /// The limit; `None` if it has ended.
     pub rate: Option<RequestRate>,
-    /// How long ago it said so, in milliseconds.
+    /// Time since the endpoint reported it, in milliseconds.
     pub age_ms: u32,
 }
 
-/// The latest word of one endpoint.
+/// The latest report on one endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Known {
     rate: Option<RequestRate>,
-    /// When the endpoint said so.
+    /// When the endpoint reported it.
     at: Duration,
-    /// When it was learned here that the limit is another.
+    /// When this instance learned of the last change of the rate.
     changed: Duration,
-    /// It comes from an answer to this instance or to one that asks here, so those whom this instance asks need it.
+    /// It comes from this instance or a downstream one, so it is sent upstream.
     is_own: bool,
 }
 
@@ -50,10 +49,11 @@
     }
 }
 
-/// What an exchange with one other instance has told of all limits.
+/// State of the exchange of limits with one other instance.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PeerSync {
-    complete: Option<Duration>,
+    /// When all limits were last sent.
+    last_full: Option<Duration>,
 }
 
 /// The limits of all endpoints.
@@ -64,27 +64,27 @@
 }
 
 impl Limits {
-    /// True where nothing is known.
+    /// True if no limits are known.
     pub fn is_empty(&self) -> bool {
         self.known.is_empty()
     }
 
-    /// Counts the changes of limits.
+    /// Number of changes of limits so far.
     pub fn edition(&self) -> u64 {
         self.edition
     }
 
-    /// The limit of an endpoint, where it has one.
+    /// The limit of an endpoint, if it has one.
     pub fn rate(&self, endpoint: EndpointTag) -> Option<RequestRate> {
         self.known.get(&endpoint)?.rate
     }
 
-    /// Records what an endpoint said to this instance, or to one that asks here.
+    /// Records a report of this instance or of a downstream one.
     pub fn record_own(&mut self, now: Duration, report: LimitReport) {
         self.record(now, report, true);
     }
 
-    /// Records what the one whom this instance asks has told.
+    /// Records a report received from another instance that isn't downstream.
     pub fn record_received(&mut self, now: Duration, report: LimitReport) {
         self.record(now, report, false);
     }
@@ -92,46 +92,46 @@
     fn record(&mut self, now: Duration, report: LimitReport, is_own: bool) {
         let at = now.saturating_sub(Duration::from_millis(u64::from(report.age_ms)));
         let before = self.known.get(&report.endpoint).copied();
-        let says_same = before.is_some_and(|known| known.rate == report.rate);
-        let margin = if says_same { ECHO } else { Duration::ZERO };
+        let is_same = before.is_some_and(|known| known.rate == report.rate);
+        let margin = if is_same { SAME_RATE_MARGIN } else { Duration::ZERO };
         if before.is_some_and(|known| at <= known.at + margin) {
-            // Who said so knows less, and is to be told what holds.
-            self.edition += u64::from(is_own && !says_same);
+            // The reporter is behind and needs the current limit.
+            self.edition += u64::from(is_own && !is_same);
             return;
         }
-        let changed = before.filter(|_| says_same).map_or(now, |known| known.changed);
+        let changed = before.filter(|_| is_same).map_or(now, |known| known.changed);
         self.known.insert(report.endpoint, Known { rate: report.rate, at, changed, is_own });
-        self.edition += u64::from(!says_same);
+        self.edition += u64::from(!is_same);
     }
 
-    /// All that is known.
+    /// All known limits.
     pub fn reports(&self, now: Duration) -> impl Iterator<Item = LimitReport> {
         self.known.iter().map(move |(endpoint, known)| known.to_report(*endpoint, now))
     }
 
-    /// What the one whom this instance asks is to be told.
-    pub fn own_changes(&self, now: Duration, told: &mut PeerSync) -> Vec<LimitReport> {
-        self.news(now, told, |known| known.is_own)
+    /// The reports to send upstream now.
+    pub fn own_changes(&self, now: Duration, sync: &mut PeerSync) -> Vec<LimitReport> {
+        self.changes(now, sync, |known| known.is_own)
     }
 
-    /// What one that asks here is to be told.
-    pub fn all_changes(&self, now: Duration, told: &mut PeerSync) -> Vec<LimitReport> {
-        self.news(now, told, |_| true)
+    /// The reports to send to a downstream instance now.
+    pub fn all_changes(&self, now: Duration, sync: &mut PeerSync) -> Vec<LimitReport> {
+        self.changes(now, sync, |_| true)
     }
 
-    fn news(&self, now: Duration, told: &mut PeerSync, is_meant: impl Fn(&Known) -> bool) -> Vec<LimitReport> {
-        let complete = told.complete.is_none_or(|complete| now >= complete + COMPLETE);
-        if complete {
-            told.complete = Some(now);
+    fn changes(&self, now: Duration, sync: &mut PeerSync, is_included: impl Fn(&Known) -> bool) -> Vec<LimitReport> {
+        let full = sync.last_full.is_none_or(|last| now >= last + FULL_SYNC_INTERVAL);
+        if full {
+            sync.last_full = Some(now);
         }
-        let is_news = |known: &Known| is_meant(known) && (complete || now < known.changed + RECENT);
-        let news = self.known.iter().filter(|(_, known)| is_news(known));
-        news.map(|(endpoint, known)| known.to_report(*endpoint, now)).collect()
+        let is_due = |known: &Known| is_included(known) && (full || now < known.changed + CHANGE_PERIOD);
+        let changes = self.known.iter().filter(|(_, known)| is_due(known));
+        changes.map(|(endpoint, known)| known.to_report(*endpoint, now)).collect()
     }
 
-    /// Forgets endpoints that are not `known` any more, and limits that ended long ago.
+    /// Drops old reports of endpoints for which `is_known` is false, and of limits that have ended.
     pub fn expire(&mut self, now: Duration, is_known: impl Fn(EndpointTag) -> bool) {
-        let is_old = |known: &Known| now >= known.at + KEEP;
+        let is_old = |known: &Known| now >= known.at + RETENTION;
         self.known.retain(|endpoint, known| !is_old(known) || known.rate.is_some() && is_known(*endpoint));
     }
 }
--- a/crates/rudder-core/src/loads.rs
+++ b/crates/rudder-core/src/loads.rs
@@ -1,8 +1,8 @@
-//! Work under way at endpoints, as all instances tell the leader and the leader tells each of the others.
+//! Requests in flight at endpoints, as all instances report them to the leader, which sends each the sum of the others.
 //!
-//! Every instance asks several times a second, so the totals are kept and only changed by what is told: an
-//! answer costs the endpoints, not the endpoints times the instances. A relay keeps such totals of those who ask it, and
-//! tells the leader their sum as its own work.
+//! Every instance reports several times a second, so the totals are updated incrementally: the cost of an answer grows with
+//! the endpoints, not with the endpoints times the instances. A relay keeps such totals of the instances that ask it, and
+//! reports the sum to the leader as its own load.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -13,78 +13,78 @@
 
 use crate::peer::Load;
 
-/// What an instance said of its work counts for this long.
-const MEMORY: Duration = Duration::from_millis(1500);
+/// How long the report of an instance counts.
+const REPORT_LIFETIME: Duration = Duration::from_millis(1500);
 
 #[derive(Debug)]
-struct Told {
+struct Report {
     loads: Vec<Load>,
     at: Duration,
 }
 
-/// The work of all instances.
+/// The loads reported by all instances, and their totals by endpoint.
 #[derive(Debug, Default)]
 pub struct Loads {
-    told: BTreeMap<InstanceId, Told>,
+    reports: BTreeMap<InstanceId, Report>,
     totals: BTreeMap<EndpointTag, Load>,
 }
 
 impl Loads {
-    /// Records what `from` has under way; it replaces what it said before.
+    /// Records the report of `from`, which replaces its previous one.
     pub fn record(&mut self, now: Duration, from: &InstanceId, loads: Vec<Load>) {
         for load in &loads {
             add(&mut self.totals, load);
         }
-        let before = self.told.insert(from.clone(), Told { loads, at: now });
-        self.take_off(before);
+        let before = self.reports.insert(from.clone(), Report { loads, at: now });
+        self.subtract_report(before);
     }
 
-    /// The work of all instances but `asker`, where there is any.
+    /// The total load by endpoint without that of `asker`.
     pub fn total_excluding(&self, asker: &InstanceId) -> Vec<Load> {
-        let own = self.told.get(asker).map(|told| told.loads.as_slice()).unwrap_or_default();
+        let own = self.reports.get(asker).map(|report| report.loads.as_slice()).unwrap_or_default();
         let own: HashMap<EndpointTag, &Load> = own.iter().map(|load| (load.endpoint, load)).collect();
         let mut others = Vec::with_capacity(self.totals.len());
         for total in self.totals.values() {
-            let mut rest = total.clone();
+            let mut other = total.clone();
             if let Some(load) = own.get(&total.endpoint) {
-                subtract(&mut rest, load);
+                subtract(&mut other, load);
             }
-            if !rest.is_none() {
-                others.push(rest);
+            if !other.is_none() {
+                others.push(other);
             }
         }
         others
     }
 
-    /// Requests under way at the endpoint `tag`.
+    /// Requests in flight at the endpoint `tag`.
     pub fn calls_at(&self, tag: EndpointTag) -> u32 {
         self.totals.get(&tag).map_or(0, |load| load.calls)
     }
 
-    /// The work of all instances together.
+    /// The total load by endpoint.
     pub fn total(&self) -> Vec<Load> {
         self.totals.values().cloned().collect()
     }
 
-    /// Drops what was told too long ago.
+    /// Drops reports that are too old.
     pub fn expire(&mut self, now: Duration) {
-        let old = |told: &Told| now > told.at + MEMORY;
+        let is_old = |report: &Report| now > report.at + REPORT_LIFETIME;
         let names: Vec<InstanceId> =
-            self.told.iter().filter(|(_, told)| old(told)).map(|(name, _)| name.clone()).collect();
+            self.reports.iter().filter(|(_, report)| is_old(report)).map(|(name, _)| name.clone()).collect();
         for name in names {
-            let before = self.told.remove(&name);
-            self.take_off(before);
+            let before = self.reports.remove(&name);
+            self.subtract_report(before);
         }
     }
 
-    /// Forgets all.
+    /// Drops all reports.
     pub fn clear(&mut self) {
-        self.told.clear();
+        self.reports.clear();
         self.totals.clear();
     }
 
-    fn take_off(&mut self, told: Option<Told>) {
-        for load in told.map(|told| told.loads).unwrap_or_default() {
+    fn subtract_report(&mut self, report: Option<Report>) {
+        for load in report.map(|report| report.loads).unwrap_or_default() {
             let Some(total) = self.totals.get_mut(&load.endpoint) else { continue };
             subtract(total, &load);
             if total.is_none() {
@@ -94,10 +94,10 @@
     }
 }
 
-/// The work of `rest` and `more` together.
-pub fn merge(rest: &[Load], more: Vec<Load>) -> Vec<Load> {
+/// Adds up two lists of loads by endpoint.
+pub fn merge(base: &[Load], more: Vec<Load>) -> Vec<Load> {
     let mut totals: BTreeMap<EndpointTag, Load> = more.into_iter().map(|load| (load.endpoint, load)).collect();
-    for load in rest {
+    for load in base {
         add(&mut totals, load);
     }
     totals.into_values().collect()
