--- a/crates/rudder-core/src/control.rs
+++ b/crates/rudder-core/src/control.rs
@@ -293,7 +293,7 @@
         let Some(members) = self.founding.tick(now, me, options, self.replica.id(), out) else { return };
         let data = Ledger::default().try_to_bytes().expect("an empty state can be encoded");
         self.replica.found(members, data, outputs);
-        self.founding.note_began(self.replica.term());
+        self.founding.note_started(self.replica.term());
     }
 
     /// Takes up the role that the replica has now. Must come before anything is answered in it: a leader that takes its
--- a/crates/rudder-core/src/founding.rs
+++ b/crates/rudder-core/src/founding.rs
@@ -72,7 +72,7 @@
     }
 
     /// Records that this process has begun the log in `term`.
-    pub(crate) fn note_began(&mut self, term: u64) {
+    pub(crate) fn note_started(&mut self, term: u64) {
         self.began = Some(term);
     }
 }
--- a/crates/rudder-core/src/hall_orders.rs
+++ b/crates/rudder-core/src/hall_orders.rs
@@ -17,9 +17,9 @@
     /// It is to be evacuated; otherwise, an evacuation ends.
     pub begins: bool,
     /// When it came.
-    pub came: Duration,
+    pub arrived: Duration,
     /// When its outcome is called unknown.
-    pub until: Duration,
+    pub deadline: Duration,
 }
 
 /// All orders that wait.
@@ -39,12 +39,12 @@
 
     /// Takes those out that came before `proved`, as of which all is known here.
     pub(crate) fn take_proved(&mut self, proved: Option<Duration>) -> Vec<HallOrder> {
-        self.take(|order| proved.is_some_and(|proved| order.came <= proved))
+        self.take(|order| proved.is_some_and(|proved| order.arrived <= proved))
     }
 
     /// Takes those out that have waited too long.
     pub(crate) fn take_expired(&mut self, now: Duration) -> Vec<HallOrder> {
-        self.take(|order| now >= order.until)
+        self.take(|order| now >= order.deadline)
     }
 
     fn take(&mut self, is_meant: impl Fn(&HallOrder) -> bool) -> Vec<HallOrder> {
--- a/crates/rudder-core/src/reduce.rs
+++ b/crates/rudder-core/src/reduce.rs
@@ -183,7 +183,7 @@
             }
             Event::Evacuate { ticket, hall, begins } => {
                 let until = now + DOCUMENT_TIMEOUT;
-                self.hall_orders.add(HallOrder { ticket, hall, begins, came: now, until });
+                self.hall_orders.add(HallOrder { ticket, hall, begins, arrived: now, deadline: until });
                 self.view.asking.ask_leader_soon();
                 self.ask(now, out);
             }
@@ -302,9 +302,9 @@
     /// Proposes the orders on halls that may count now.
     fn propose_hall_orders(&mut self) {
         let as_of = self.view.evacuations.index();
-        for HallOrder { ticket, hall, begins, until, .. } in self.hall_orders.take_proved(self.view.proved()) {
+        for HallOrder { ticket, hall, begins, deadline, .. } in self.hall_orders.take_proved(self.view.proved()) {
             let command = Command::Evacuate(Evacuation { hall, begins, as_of });
-            self.proposals.start(Purpose::Evacuation(ticket), command, until);
+            self.proposals.start(Purpose::Evacuation(ticket), command, deadline);
         }
     }
 
