--- a/crates/rudder-core/src/calls/admit.rs
+++ b/crates/rudder-core/src/calls/admit.rs
@@ -17,7 +17,7 @@
     let Some(org) = context.view.org_of_key(&arrival.bearer) else {
         return Err(Refusal::not_run(RefusalCode::WrongKey, "no organisation has this key", None));
     };
-    let Some(class_id) = arrival.class.clone().or_else(|| reach::assigned(config, &org)) else {
+    let Some(class_id) = arrival.class.clone().or_else(|| reach::default_class(config, &org)) else {
         let text = "name a class in the header X-Class; no selector assigns one";
         return Err(Refusal::not_run(RefusalCode::UnknownClass, text, None));
     };
--- a/crates/rudder-core/src/document_history.rs
+++ b/crates/rudder-core/src/document_history.rs
@@ -1,4 +1,4 @@
-//! Versions of the configuration document that askers may still hold, and the patches from them to the newest.
+//! Recent versions of the configuration document, from which patches to the newest are made.
 
 use std::collections::VecDeque;
 
@@ -6,23 +6,23 @@
 
 use crate::peer::DocumentNews;
 
-/// Versions kept: changes may follow each other faster than all have learned of them.
-const KEPT: usize = 4;
-/// Bytes of all versions kept, but for the newest.
-const KEPT_BYTES: usize = 1 << 20;
-/// A patch is sent where it is at most this part of the whole.
-const WORTH: usize = 2;
+/// Versions kept, as changes may come faster than they reach all instances.
+const MAX_VERSIONS: usize = 4;
+/// Bytes of all versions above which only the newest is kept.
+const MAX_OLD_BYTES: usize = 1 << 20;
+/// A patch is sent if it is smaller than the document by at least this factor.
+const MIN_PATCH_SAVING: usize = 2;
 
 /// The newest versions, oldest first.
 #[derive(Debug, Default)]
 pub struct DocumentHistory {
     documents: VecDeque<Document>,
-    /// The patch that was asked for last: many ask for the same one after the other.
+    /// The last patch and its size; many instances need the same one in sequence.
     patch: Option<(Patch, usize)>,
 }
 
 impl DocumentHistory {
-    /// Records which document is the newest.
+    /// Records the newest document.
     pub fn record(&mut self, newest: &Document) {
         if self.documents.back().is_some_and(|last| last.version >= newest.version) {
             return;
@@ -30,12 +30,14 @@
         self.documents.push_back(newest.clone());
         self.patch = None;
         let bytes = |documents: &VecDeque<Document>| documents.iter().map(|held| held.body.len()).sum::<usize>();
-        while self.documents.len() > KEPT || (self.documents.len() > 1 && bytes(&self.documents) > KEPT_BYTES) {
+        while self.documents.len() > MAX_VERSIONS
+            || (self.documents.len() > 1 && bytes(&self.documents) > MAX_OLD_BYTES)
+        {
             self.documents.pop_front();
         }
     }
 
-    /// What the holder of version `held` is sent to hold `newest`.
+    /// The update that brings the holder of version `held` to `newest`: a patch, or the whole document.
     pub fn to_news(&mut self, held: u64, newest: &Document) -> DocumentNews {
         match self.patch_from(held, newest) {
             Some(patch) => DocumentNews::Patch(patch),
@@ -44,14 +46,14 @@
     }
 
     fn patch_from(&mut self, held: u64, newest: &Document) -> Option<Patch> {
-        let made = |patch: &Patch| patch.base == held && patch.version == newest.version;
-        if self.patch.as_ref().is_none_or(|(patch, _)| !made(patch)) {
+        let fits = |patch: &Patch| patch.base == held && patch.version == newest.version;
+        if self.patch.as_ref().is_none_or(|(patch, _)| !fits(patch)) {
             let older = self.documents.iter().find(|document| document.version == held)?;
             let patch = Patch::between(older, newest);
             let size = patch.size();
             self.patch = Some((patch, size));
         }
         let (patch, size) = self.patch.as_ref()?;
-        (size * WORTH <= newest.body.len()).then(|| patch.clone())
+        (size * MIN_PATCH_SAVING <= newest.body.len()).then(|| patch.clone())
     }
 }
--- a/crates/rudder-core/src/founding.rs
+++ b/crates/rudder-core/src/founding.rs
@@ -1,5 +1,5 @@
-//! The start of the replicated log: the founder with the lowest name begins it, once all founders have said that their
-//! folders are empty.
+//! Bootstrap of the replicated log: the founder with the lowest name starts it, once all founders have reported that their
+//! data folders are empty.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -8,34 +8,34 @@
 
 use crate::{Effect, Me, Options, PeerMessage};
 
-/// Time between questions of founders to each other.
-const RETRY: Duration = Duration::from_millis(300);
+/// Interval between requests to the other founders.
+const ASK_INTERVAL: Duration = Duration::from_millis(300);
 
-/// What a founder knows of the others.
+/// State of the bootstrap at a founder.
 #[derive(Debug, Default)]
 pub(crate) struct Founding {
     founders: BTreeMap<InstanceId, ReplicaId>,
-    /// Another founder knows a log, so none is begun here.
-    foreign: bool,
-    asked: Option<Duration>,
-    /// The term in which this process began the log.
-    began: Option<u64>,
+    /// Another founder knows a log, so none is started here.
+    log_exists: bool,
+    last_asked: Option<Duration>,
+    /// The term in which this process started the log.
+    started: Option<u64>,
 }
 
 impl Founding {
-    /// Records what another founder says.
+    /// Records the answer of another founder.
     pub(crate) fn note(&mut self, from: InstanceId, replica: ReplicaId, knows_log: bool) {
-        self.foreign |= knows_log;
+        self.log_exists |= knows_log;
         self.founders.insert(from, replica);
     }
 
-    /// True where this process began the log and `term` is that of the first election after it: nobody has led before.
+    /// True if this process started the log and `term` is that of the first election, so there was no leader before.
     pub(crate) fn is_first(&self, term: u64) -> bool {
-        self.began.is_some_and(|began| term <= began + 1)
+        self.started.is_some_and(|started| term <= started + 1)
     }
 
-    /// The members to begin the log with where there is none yet, once all founders are known here. A founder that lost its folder hears from the
-    /// others that the log exists, and waits to be taken in as a new replica.
+    /// Returns the members to start the log with, once all founders have answered and none knows a log. A founder that lost
+    /// its data folder learns from the others that the log exists, and waits to be added as a new replica.
     pub(crate) fn tick(
         &mut self,
         now: Duration,
@@ -45,7 +45,7 @@
         out: &mut Vec<Effect>,
     ) -> Option<Members> {
         let first = options.founders.iter().min() == Some(&me.name);
-        if !first || self.foreign {
+        if !first || self.log_exists {
             return None;
         }
         self.founders.insert(me.name.clone(), replica);
@@ -61,18 +61,18 @@
     }
 
     fn ask(&mut self, now: Duration, me: &Me, options: &Options, replica: ReplicaId, out: &mut Vec<Effect>) {
-        if self.asked.is_some_and(|asked| now < asked + RETRY) {
+        if self.last_asked.is_some_and(|last| now < last + ASK_INTERVAL) {
             return;
         }
-        self.asked = Some(now);
+        self.last_asked = Some(now);
         for founder in options.founders.iter().filter(|name| **name != me.name) {
             let message = PeerMessage::Founding { replica, members: None, ask: true };
             out.push(Effect::Send { to: founder.clone(), message });
         }
     }
 
-    /// Records that this process has begun the log in `term`.
+    /// Records that this process has started the log in `term`.
     pub(crate) fn note_started(&mut self, term: u64) {
-        self.began = Some(term);
+        self.started = Some(term);
     }
 }
--- a/crates/rudder-core/src/hall_tags.rs
+++ b/crates/rudder-core/src/hall_tags.rs
@@ -1,4 +1,4 @@
-//! The endpoints that the instances of each hall are told of, in short, so that loads of others are not told to them.
+//! Tags of the endpoints that each hall receives, so that its instances aren't sent the loads of others.
 
 use std::{
     collections::{BTreeMap, HashSet},
@@ -10,25 +10,25 @@
 
 use crate::{Registry, delta_map::Version, subset::Scope};
 
-/// Time between two looks through the registry for one hall: it has thousands of endpoints, and changes all the time.
-const PAUSE: Duration = Duration::from_millis(500);
+/// Minimum time between two scans of the registry for one hall; it has thousands of endpoints and changes often.
+const MIN_RECOMPUTE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Those of one hall, as of a version of the registry.
+/// The tags of one hall, as of a version of the registry.
 #[derive(Debug)]
-struct Known {
+struct Cached {
     version: Version,
     at: Duration,
     tags: Arc<HashSet<EndpointTag>>,
 }
 
-/// Those of all halls.
+/// The cached tags of all halls.
 #[derive(Debug, Default)]
 pub(crate) struct HallTags {
-    halls: BTreeMap<HallId, Known>,
+    halls: BTreeMap<HallId, Cached>,
 }
 
 impl HallTags {
-    /// Those of `hall`, which `scope` tells of; worked out anew a few times a second where the registry has changed.
+    /// The tags of the endpoints in `scope` of `hall`, recomputed if the registry has changed and the cached ones are too old.
     pub(crate) fn of(
         &mut self,
         now: Duration,
@@ -37,13 +37,14 @@
         registry: &Registry,
     ) -> Arc<HashSet<EndpointTag>> {
         let version = registry.version();
-        let known = self.halls.get(hall).filter(|known| known.version == version || now < known.at + PAUSE);
-        if let Some(known) = known {
-            return known.tags.clone();
+        let cached =
+            self.halls.get(hall).filter(|cached| cached.version == version || now < cached.at + MIN_RECOMPUTE_INTERVAL);
+        if let Some(cached) = cached {
+            return cached.tags.clone();
         }
-        let told = registry.iter().filter(|held| scope.includes(hall, held));
-        let tags: Arc<HashSet<EndpointTag>> = Arc::new(told.map(|held| id::endpoint_tag(&held.endpoint)).collect());
-        self.halls.insert(hall.clone(), Known { version, at: now, tags: tags.clone() });
+        let included = registry.iter().filter(|held| scope.includes(hall, held));
+        let tags: Arc<HashSet<EndpointTag>> = Arc::new(included.map(|held| id::endpoint_tag(&held.endpoint)).collect());
+        self.halls.insert(hall.clone(), Cached { version, at: now, tags: tags.clone() });
         tags
     }
 }
--- a/crates/rudder-core/src/homes.rs
+++ b/crates/rudder-core/src/homes.rs
@@ -1,4 +1,5 @@
-//! The pools this instance decides for. Their state is soft: entries repeat what they hold.
+//! The pools whose home is this instance, which schedules their requests. Their state is soft: the entries, the instances
+//! that callers are connected to, report their grants again.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -15,23 +16,25 @@
     view::View,
 };
 
-/// What polling knows of an endpoint.
+/// Polling state of an endpoint.
 #[derive(Clone, Debug, Default)]
 struct Polled {
-    at: Option<Duration>,
+    last: Option<Duration>,
+    /// Number of the next cache event to ask for.
     next_event: u64,
 }
 
-/// The pools this instance decides for.
+/// The pools whose home is this instance.
 #[derive(Debug, Default)]
 pub struct Homes {
     pools: BTreeMap<PoolId, Pool>,
     polls: BTreeMap<EndpointId, Polled>,
+    /// Promises checked by pools that have moved to another home.
     retired: Promises,
 }
 
 impl Homes {
-    /// Requests that wait in all pools.
+    /// Requests that wait, over all pools.
     pub fn waiting(&self) -> usize {
         self.pools.values().map(Pool::waiting).sum()
     }
@@ -50,8 +53,8 @@
         promises
     }
 
-    /// Handles a message for a pool. A pool asked of this instance is served even when the own view
-    /// names another home: two homes for a moment fill an engine's own queue, they break no promise.
+    /// Handles a message for a pool. It is served even if the view here names another home: with two homes for a short time
+    /// requests may queue in an engine, but no promise is broken.
     pub(crate) fn on_message(
         &mut self,
         now: Duration,
@@ -90,17 +93,17 @@
         self.poll(now, me, view, options, out);
     }
 
-    /// Brings all pools in line with a changed view.
+    /// Updates all pools after a change of the view.
     pub(crate) fn on_view(&mut self, now: Duration, me: &Me, view: &View, out: &mut Vec<Effect>) {
         let mut decisions = Vec::new();
-        let lost: Vec<PoolId> = self
+        let moved: Vec<PoolId> = self
             .pools
             .keys()
             .filter(|(hall, model)| view.home(hall, model).is_some_and(|home| home != me.name))
             .cloned()
             .collect();
-        for id in lost {
-            // Entries see the same change and ask the new home.
+        for id in moved {
+            // The entries see the same change and ask the new home.
             let Some(pool) = self.pools.remove(&id) else { continue };
             self.retired.merge(&pool.promises);
         }
@@ -112,7 +115,7 @@
         send(decisions, out);
     }
 
-    /// Records what an endpoint said of itself.
+    /// Records the report of a polled endpoint; `None` if it didn't answer.
     pub(crate) fn on_polled(
         &mut self,
         now: Duration,
@@ -138,19 +141,19 @@
     }
 
     fn poll(&mut self, now: Duration, me: &Me, view: &View, options: &Options, out: &mut Vec<Effect>) {
-        let due = |polled: &Polled| polled.at.is_none_or(|at| now >= at + options.poll_interval);
+        let due = |polled: &Polled| polled.last.is_none_or(|last| now >= last + options.poll_interval);
         for (name, endpoint) in reach::iter_endpoints(&view.config) {
             let Some((hall, model)) = reach::pool_of(endpoint) else { continue };
-            let mine = self.pools.contains_key(&(hall.clone(), model.clone()))
+            let is_home = self.pools.contains_key(&(hall.clone(), model.clone()))
                 && view.home(&hall, &model).as_ref() == Some(&me.name);
-            if !mine || endpoint.kind != EndpointKind::Engine {
+            if !is_home || endpoint.kind != EndpointKind::Engine {
                 continue;
             }
             let polled = self.polls.entry(EndpointId::from(name)).or_default();
             if !due(polled) {
                 continue;
             }
-            polled.at = Some(now);
+            polled.last = Some(now);
             let (endpoint_id, address) = (EndpointId::from(name), endpoint.address.clone());
             out.push(Effect::Poll { endpoint: endpoint_id, address, after: polled.next_event });
         }
--- a/crates/rudder-core/src/propose.rs
+++ b/crates/rudder-core/src/propose.rs
@@ -1,4 +1,4 @@
-//! Commands on their way to the leader: sent again until answered or given up.
+//! Commands proposed to the leader, retried until they are answered or their deadline passes.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -7,13 +7,13 @@
 
 use crate::{Effect, Me, PeerMessage, view::View};
 
-/// A proposal without an answer is sent again after this long.
-const RETRY: Duration = Duration::from_millis(400);
+/// Interval between two attempts of a proposal.
+const RETRY_INTERVAL: Duration = Duration::from_millis(400);
 
-/// After news of another leader, it is sent again after this long.
-const SOON: Duration = Duration::from_millis(50);
+/// Delay before the next attempt after a change of leader.
+const REDIRECT_DELAY: Duration = Duration::from_millis(50);
 
-/// Whom the answer is for.
+/// What a proposal is for, and who waits for its answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Purpose {
     /// An operator's connection.
@@ -38,7 +38,7 @@
     deadline: Duration,
 }
 
-/// All proposals under way.
+/// All open proposals.
 #[derive(Debug, Default)]
 pub(crate) struct Proposals {
     count: u64,
@@ -46,7 +46,7 @@
 }
 
 impl Proposals {
-    /// Starts a proposal; it is sent at once and again until `deadline`.
+    /// Adds a proposal, which is retried until `deadline`.
     pub(crate) fn start(&mut self, purpose: Purpose, command: Command, deadline: Duration) {
         self.count += 1;
         self.open.insert(self.count, Proposal { purpose, command, sent: None, deadline });
@@ -56,15 +56,15 @@
         self.open.len()
     }
 
-    /// Sends what is new or has waited long. Returns the purposes given up.
+    /// Sends the proposals that are due. Returns the purposes of those past their deadline.
     pub(crate) fn send(&mut self, now: Duration, me: &Me, view: &View, out: &mut Vec<Effect>) -> Vec<Purpose> {
-        let mut ended = Vec::new();
+        let mut expired = Vec::new();
         for (ticket, proposal) in &mut self.open {
             if now >= proposal.deadline {
-                ended.push(*ticket);
+                expired.push(*ticket);
                 continue;
             }
-            if proposal.sent.is_some_and(|sent| now < sent + RETRY) {
+            if proposal.sent.is_some_and(|sent| now < sent + RETRY_INTERVAL) {
                 continue;
             }
             let Some(to) = view.to_leader() else { continue };
@@ -72,10 +72,10 @@
             let message = PeerMessage::Propose { ticket: *ticket, start: me.start, command: proposal.command.clone() };
             out.push(Effect::Send { to, message });
         }
-        ended.into_iter().filter_map(|ticket| self.open.remove(&ticket)).map(|proposal| proposal.purpose).collect()
+        expired.into_iter().filter_map(|ticket| self.open.remove(&ticket)).map(|proposal| proposal.purpose).collect()
     }
 
-    /// True when a release or an end of this attempt is on its way.
+    /// True if a release or an end of this attempt is already proposed.
     pub(crate) fn has_pending(&self, key: &str, attempt: &Attempt) -> bool {
         self.open.values().any(|proposal| match &proposal.command {
             Command::Release { key: held, attempt: of } | Command::Finish { key: held, attempt: of, .. } => {
@@ -85,16 +85,16 @@
         })
     }
 
-    /// Sends all again soon, because the leader is another than thought. Not at once: an instance that
-    /// takes itself for the leader would ask itself for ever.
+    /// Retries all proposals soon, after a change of leader. An immediate retry could loop endlessly at an instance that
+    /// believes itself to be the leader.
     pub(crate) fn retry_soon(&mut self, now: Duration) {
-        let early = now.saturating_sub(RETRY.saturating_sub(SOON));
+        let latest = now.saturating_sub(RETRY_INTERVAL.saturating_sub(REDIRECT_DELAY));
         for proposal in self.open.values_mut() {
-            proposal.sent = proposal.sent.map(|sent| sent.min(early));
+            proposal.sent = proposal.sent.map(|sent| sent.min(latest));
         }
     }
 
-    /// Handles an answer; `None` for one that came twice or too late.
+    /// Ends a proposal that was answered. Returns `None` for a duplicate or late answer.
     pub(crate) fn end(&mut self, ticket: u64, answer: Answer) -> Option<(Purpose, Answer)> {
         self.open.remove(&ticket).map(|proposal| (proposal.purpose, answer))
     }
--- a/crates/rudder-core/src/reach.rs
+++ b/crates/rudder-core/src/reach.rs
@@ -1,11 +1,11 @@
-//! Selectors: which endpoints a class of an organisation reaches, and the class of a call that names none.
+//! Selectors: which endpoints a class of an organisation may use, and the default class of an organisation.
 
 use std::sync::Arc;
 
 use rudder_ledger::Config;
 use rudder_model::{Class, ClassId, Endpoint, EndpointId, HallId, Kind, Labels, ModelId, Object, OrgId, Selector};
 
-/// A pool: its hall and the first model or service of its endpoints.
+/// Identifies a pool: its hall, and the first model or service of its endpoints.
 pub type PoolId = (HallId, ModelId);
 
 /// The class called `name`.
@@ -46,45 +46,44 @@
     }
 }
 
-/// True when any endpoint serves `model`.
+/// True if any endpoint serves `model`.
 pub fn is_served(config: &Config, model: &ModelId) -> bool {
     iter_endpoints(config).any(|(_, endpoint)| endpoint.serves.contains(model))
 }
 
-/// The class assigned to calls of `org` that name none: that of the first selector, by name.
-pub fn assigned(config: &Config, org: &str) -> Option<ClassId> {
+/// The class for calls of `org` that name none: that of the first matching selector, by name.
+pub fn default_class(config: &Config, org: &str) -> Option<ClassId> {
     let labels = org_labels(config, org)?;
-    let meant = |selector: &&Selector| selector.organisations.accepts(org, labels);
-    iter_selectors(config).filter(meant).find_map(|selector| selector.assign.clone())
+    let matches = |selector: &&Selector| selector.organisations.accepts(org, labels);
+    iter_selectors(config).filter(matches).find_map(|selector| selector.assign.clone())
 }
 
-/// The pool an endpoint belongs to: its hall and the first of what it serves. An endpoint is in one
-/// pool only, so that one home knows all that runs there.
+/// The pool of an endpoint. An endpoint is in one pool only, so that one home knows all requests that run there.
 pub fn pool_of(endpoint: &Endpoint) -> Option<PoolId> {
     Some((endpoint.hall.clone(), endpoint.serves.first()?.clone()))
 }
 
-/// Endpoints of any pool that serve `model` and that some selector lets the class of the organisation
-/// reach. Leaving ones are included: the pool passes them over.
+/// The endpoints that serve `model` and that a selector allows to the class and the organisation, with their pools. Draining
+/// ones are included; their pool skips them.
 pub fn endpoints(config: &Config, class_id: &ClassId, org: &OrgId, model: &ModelId) -> Vec<(PoolId, EndpointId)> {
     let (Some(class), Some(labels)) = (class(config, class_id), org_labels(config, org)) else {
         return Vec::new();
     };
-    let meant = |selector: &&Selector| {
+    let matches = |selector: &&Selector| {
         selector.classes.accepts(class_id, &class.labels) && selector.organisations.accepts(org, labels)
     };
-    let selectors: Vec<&Selector> = iter_selectors(config).filter(meant).collect();
+    let selectors: Vec<&Selector> = iter_selectors(config).filter(matches).collect();
     let serving = iter_endpoints(config).filter(|(_, endpoint)| endpoint.serves.contains(model));
-    let reached = serving.filter(|(name, endpoint)| {
+    let allowed = serving.filter(|(name, endpoint)| {
         selectors.iter().any(|selector| {
-            let here = selector.halls.is_empty() || selector.halls.contains(&endpoint.hall);
-            here && selector.endpoints.accepts(name, &endpoint.labels)
+            let hall_matches = selector.halls.is_empty() || selector.halls.contains(&endpoint.hall);
+            hall_matches && selector.endpoints.accepts(name, &endpoint.labels)
         })
     });
-    reached.filter_map(|(name, endpoint)| Some((pool_of(endpoint)?, EndpointId::from(name)))).collect()
+    allowed.filter_map(|(name, endpoint)| Some((pool_of(endpoint)?, EndpointId::from(name)))).collect()
 }
 
-/// Of [`endpoints`], those of one pool.
+/// Those of [`endpoints`] that are in one pool.
 pub fn in_pool(config: &Config, class_id: &ClassId, org: &OrgId, model: &ModelId, pool: &PoolId) -> Arc<[EndpointId]> {
     let all = endpoints(config, class_id, org, model);
     all.into_iter().filter(|(held, _)| held == pool).map(|(_, id)| id).collect()
