--- a/crates/rudder-core/src/calls/admit.rs
+++ b/crates/rudder-core/src/calls/admit.rs
@@ -1,4 +1,4 @@
-//! Admission: what a call is refused for before anything is asked of a pool.
+//! Admission: checks that a call passes before a pool is asked for a slot.
 
 use rudder_model::{ClassId, Kind, ModelId, OrgId, Ran, Refusal, RefusalCode};
 
@@ -9,6 +9,7 @@
     view::View,
 };
 
+/// Checks a call and looks up its class, organisation and pools.
 pub(super) fn admit(context: &Context, arrival: Arrival) -> Result<Call, Refusal> {
     if !context.is_fresh() {
         return Err(stale(context.options));
@@ -37,17 +38,17 @@
         let text = format!("no selector lets class {class_id} of {org} reach {}", arrival.model);
         return Err(Refusal::not_run(RefusalCode::NotAllowed, text, None));
     }
-    let patience = arrival.patience.map_or(class.patience, |own| own.min(class.patience));
+    let patience = arrival.patience.map_or(class.patience, |requested| requested.min(class.patience));
     Ok(Call {
         arrived: context.now,
         deadline: context.now + patience,
         phase: Phase::Claiming { next: context.now },
         attempt: None,
         pools,
-        at: 0,
+        pool_index: 0,
         dispatches: 0,
         produced: 0,
-        first: None,
+        first_output: None,
         ran: Ran::No,
         recalled: false,
         arrival,
@@ -57,7 +58,7 @@
     })
 }
 
-/// Pools to try, nearest hall first.
+/// The pools to try, nearest hall first.
 fn to_pools(context: &Context, class: &ClassId, org: &OrgId, arrival: &Arrival) -> Vec<PoolId> {
     let reached = reach::endpoints(&context.view.config, class, org, &arrival.model);
     let mut pools: Vec<PoolId> = reached.into_iter().map(|(pool, _)| pool).collect();
@@ -68,12 +69,13 @@
     pools
 }
 
+/// The refusal for an instance whose configuration may be stale.
 pub(crate) fn stale(options: &Options) -> Refusal {
     let text = "this instance cannot prove that its configuration is fresh; use another entry";
     Refusal::not_run(RefusalCode::Stale, text, Some(options.watch_interval * 2))
 }
 
-/// Models and services that some class of the key's organisation reaches; `None` for a wrong key.
+/// Models and services that the organisation of an API key reaches in any class; `None` for an unknown key.
 pub fn reachable_models(view: &View, bearer: &str) -> Option<Vec<ModelId>> {
     let config = &view.config;
     let org = view.org_of_key(bearer)?;
--- a/crates/rudder-core/src/calls/end.rs
+++ b/crates/rudder-core/src/calls/end.rs
@@ -1,4 +1,4 @@
-//! Ends: how an attempt or a call ended, and what is said about whether it ran.
+//! Ends of attempts and calls, and whether a refused call may have run.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use super::{Calls, Context, Phase, slots::withdraw, to_hex};
 use crate::{Ended, Verdict, idempotency, peer::ToPool, reach};
 
-/// How a dispatched call failed, as [`Ended::Failed`] tells it.
+/// The fields of [`Ended::Failed`].
 struct Failure {
     sent: bool,
     refused: bool,
@@ -18,21 +18,21 @@
 }
 
 impl Calls {
-    /// Records that the first token or byte came.
+    /// Records the arrival of the first token or byte.
     pub(crate) fn on_first(&mut self, context: &mut Context, request: RequestId, after: Duration) {
         let Some(call) = self.open.get_mut(&request) else { return };
-        call.first.get_or_insert(context.now.saturating_sub(call.arrived));
-        self.tell_home(context, request, ToPool::First(request, after));
+        call.first_output.get_or_insert(context.now.saturating_sub(call.arrived));
+        self.send_home(context, request, ToPool::First(request, after));
     }
 
-    /// Records how a dispatched call ended at its endpoint.
+    /// Handles the end of a dispatched call at its endpoint.
     pub(crate) fn on_ended(&mut self, context: &mut Context, request: RequestId, ended: Ended) {
         let Some(call) = self.open.get(&request) else { return };
         let Phase::Running { endpoint, .. } = call.phase.clone() else { return };
         match ended {
             Ended::Done { tokens, first, total, stored } => {
                 context.promises.check(Promise::WholeAnswer, true);
-                self.tell_home(context, request, ToPool::End(request, GrantOutcome::Done { tokens, first, total }));
+                self.send_home(context, request, ToPool::End(request, GrantOutcome::Done { tokens, first, total }));
                 self.log_done(context, request, endpoint, tokens);
                 match stored {
                     Some(stored) if call_has_key(self, request) => idempotency::finish(self, context, request, stored),
@@ -46,15 +46,15 @@
                 self.on_failed(context, request, &endpoint, &failure);
             }
             Ended::Recalled { produced } => {
-                self.tell_home(context, request, ToPool::End(request, GrantOutcome::Preempted));
-                // It has run in part; should it never go on, its caller must not hear "not run".
+                self.send_home(context, request, ToPool::End(request, GrantOutcome::Preempted));
+                // It has run in part, so it must not be refused as "not run" if it doesn't resume.
                 if let Some(call) = self.open.get_mut(&request) {
                     call.ran = Ran::Yes;
                 }
-                self.wait_again(context, request, produced);
+                self.requeue(context, request, produced);
             }
             Ended::Left => {
-                self.tell_home(context, request, ToPool::End(request, GrantOutcome::Dropped));
+                self.send_home(context, request, ToPool::End(request, GrantOutcome::Dropped));
                 context.log(What::Left { request: to_hex(request) });
                 idempotency::abandon(self, context, request, Ran::Unknown);
                 self.open.remove(&request);
@@ -65,12 +65,12 @@
     fn log_done(&mut self, context: &mut Context, request: RequestId, endpoint: EndpointId, tokens: u32) {
         let Some(call) = self.open.get(&request) else { return };
         let total = context.now.saturating_sub(call.arrived);
-        let first = call.first.unwrap_or(total);
+        let first = call.first_output.unwrap_or(total);
         context.log(What::Done { request: to_hex(request), endpoint, tokens, first, total });
     }
 
-    /// The pool has put the call back into its queue; the call only waits for the next grant.
-    fn wait_again(&mut self, context: &mut Context, request: RequestId, produced: u32) {
+    /// Waits for the next grant; the pool has already put the call back into its queue.
+    fn requeue(&mut self, context: &mut Context, request: RequestId, produced: u32) {
         let Some(call) = self.open.get_mut(&request) else { return };
         call.produced = produced;
         call.deadline = context.now + call.class.patience;
@@ -91,28 +91,28 @@
             call.ran = Ran::Unknown;
         }
         context.log(What::Failed { request: to_hex(request), endpoint: endpoint.clone(), ran, again });
-        self.tell_home(
+        self.send_home(
             context,
             request,
             ToPool::End(request, GrantOutcome::Failed { retryable: again, unsent: !sent, retry_after }),
         );
         if again {
-            self.wait_again(context, request, produced);
+            self.requeue(context, request, produced);
             return;
         }
         self.refuse(context, request, Refusal::unknown(RefusalCode::EndpointFailed, "the endpoint failed"));
     }
 
-    fn tell_home(&mut self, context: &mut Context, request: RequestId, message: ToPool) {
+    fn send_home(&mut self, context: &mut Context, request: RequestId, message: ToPool) {
         let Some(call) = self.open.get(&request) else { return };
         let Some(pool) = call.pool().cloned() else { return };
-        self.used.insert(pool.clone(), context.now);
+        self.last_used.insert(pool.clone(), context.now);
         if let Some(home) = context.view.home(&pool.0, &pool.1) {
             context.send_pool(home, &pool, message);
         }
     }
 
-    /// Ends a call with a refusal, whose `ran` is replaced by what is known here.
+    /// Ends a call with a refusal, whose `ran` is set from what was sent.
     pub(crate) fn refuse(&mut self, context: &mut Context, request: RequestId, mut refusal: Refusal) {
         if let Some(call) = self.open.get(&request) {
             refusal.ran = call.ran;
@@ -121,11 +121,14 @@
         self.end_refused(context, request, refusal);
     }
 
-    /// Ends a call with a refusal as it is, leaving its key alone.
+    /// Ends a call with an unchanged refusal, without releasing its key.
     pub(crate) fn end_refused(&mut self, context: &mut Context, request: RequestId, refusal: Refusal) {
         if let Some(call) = self.open.remove(&request) {
-            let held = refusal.ran != Ran::No || call.ran == Ran::No;
-            assert!(context.promises.check(Promise::NotRun, held), "\"not run\" would be false");
+            let correct = refusal.ran != Ran::No || call.ran == Ran::No;
+            assert!(
+                context.promises.check(Promise::NotRun, correct),
+                "a call that may have run would be refused as \"not run\""
+            );
             if matches!(call.phase, Phase::Asking { .. }) {
                 withdraw(context, &call);
             }
@@ -140,7 +143,7 @@
 
 pub(super) fn send_refusal(context: &mut Context, request: RequestId, refusal: Refusal) {
     let (code, text, ran) = (refusal.code, refusal.text.clone(), refusal.ran);
-    // The verdict goes first: once the end is logged, nobody is taken to listen any more.
+    // The verdict goes first: once the end is logged, the caller counts as gone.
     context.verdict(request, Verdict::Refuse(refusal));
     context.log(What::Refused { request: to_hex(request), code, text, ran });
 }
--- a/crates/rudder-core/src/calls/mod.rs
+++ b/crates/rudder-core/src/calls/mod.rs
@@ -1,7 +1,7 @@
 //! Calls: the requests whose callers are connected to this instance.
 //!
-//! A call is admitted, claims its key if it has one, asks the home of one pool after the other for a
-//! slot, runs, and ends. Everything said about "not run" is decided here, from what was sent.
+//! A call is admitted, claims its idempotency key if it has one, asks the homes of its pools in turn for a slot, runs, and
+//! ends. Whether a refused call is reported as "not run" is decided here, from what was sent.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -24,16 +24,16 @@
     view::View,
 };
 
-/// Where a call stands.
+/// State of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
-    /// Waits for its claim to be committed, or for another attempt with its key.
+    /// Waits for the commit of its claim, or for another attempt with its key.
     Claiming { next: Duration },
-    /// Waits for a slot.
+    /// Waits for a slot from the pool's home.
     Asking { home: InstanceId, sent: Duration },
     /// Runs at an endpoint.
     Running { endpoint: EndpointId, since: Duration },
-    /// Its answer waits until its end is recorded.
+    /// Holds back its answer until its end is recorded in the log.
     Finishing,
 }
 
@@ -48,12 +48,16 @@
     pub(crate) deadline: Duration,
     pub(crate) phase: Phase,
     pub(crate) attempt: Option<Attempt>,
+    /// Pools to try, in order.
     pools: Vec<PoolId>,
-    at: usize,
+    /// Index of the pool in use.
+    pool_index: usize,
     dispatches: u32,
+    /// Tokens that the caller already has.
     produced: u32,
-    first: Option<Duration>,
-    /// Whether any attempt so far may have run.
+    /// Time from arrival to the first token or byte.
+    first_output: Option<Duration>,
+    /// Whether any dispatch so far may have run.
     pub(crate) ran: Ran,
     recalled: bool,
 }
@@ -63,11 +67,12 @@
 pub struct Calls {
     pub(crate) open: BTreeMap<RequestId, Call>,
     pub(crate) attempts: u64,
-    used: BTreeMap<PoolId, Duration>,
-    synced: Duration,
+    /// When each pool was last used.
+    last_used: BTreeMap<PoolId, Duration>,
+    last_sync: Duration,
 }
 
-/// What calls need of the rest of the instance.
+/// The parts of the instance that calls use.
 pub(crate) struct Context<'a> {
     pub(crate) now: Duration,
     pub(crate) me: &'a Me,
@@ -97,14 +102,14 @@
     }
 }
 
-/// A request id as callers and events show it.
+/// A request id in hexadecimal, as in answers and events.
 pub fn to_hex(request: RequestId) -> String {
     format!("{request:032x}")
 }
 
 impl Call {
     fn pool(&self) -> Option<&PoolId> {
-        self.pools.get(self.at)
+        self.pools.get(self.pool_index)
     }
 
     fn to_ask(&self, context: &Context) -> Option<SlotRequest> {
@@ -129,17 +134,17 @@
 }
 
 impl Calls {
-    /// Calls under way.
+    /// Number of open calls.
     pub fn len(&self) -> usize {
         self.open.len()
     }
 
-    /// True while `request` is under way.
+    /// True while `request` is open.
     pub fn is_open(&self, request: RequestId) -> bool {
         self.open.contains_key(&request)
     }
 
-    /// True when no call is under way.
+    /// True if no call is open.
     pub fn is_empty(&self) -> bool {
         self.open.is_empty()
     }
@@ -163,7 +168,7 @@
         }
     }
 
-    /// Records the answer to a claim or to the record of a call's end.
+    /// Handles the answer to a proposal: a claim, or the record of a call's end.
     pub(crate) fn on_answer(
         &mut self,
         context: &mut Context,
--- a/crates/rudder-core/src/calls/slots.rs
+++ b/crates/rudder-core/src/calls/slots.rs
@@ -1,4 +1,4 @@
-//! Slots: asking the homes of pools, using or returning grants, repeating what may be lost.
+//! Slots: asking the homes of pools, using or returning grants, and retrying messages that may be lost.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -13,12 +13,12 @@
     reach::{self, PoolId},
 };
 
-/// An ask without an answer is sent again after this long.
-const ASK_RETRY: Duration = Duration::from_millis(500);
-/// Time between an entry's reports of what it holds.
-const SYNC: Duration = Duration::from_secs(1);
-/// A pool without use is reported to for this long.
-const POOL_MEMORY: Duration = Duration::from_secs(10);
+/// Interval between two attempts of an ask.
+const ASK_RETRY_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval between an entry's reports of its grants.
+const SYNC_INTERVAL: Duration = Duration::from_secs(1);
+/// How long grants are reported to a pool after its last use.
+const POOL_RETENTION: Duration = Duration::from_secs(10);
 
 impl Calls {
     /// Asks the home of the call's current pool for a slot.
@@ -32,14 +32,14 @@
         let (Some(ask), Some(home)) = (call.to_ask(context), context.view.home(&pool.0, &pool.1)) else { return };
         let first = !matches!(&call.phase, Phase::Asking { home: held, .. } if *held == home);
         call.phase = Phase::Asking { home: home.clone(), sent: context.now };
-        self.used.insert(pool.clone(), context.now);
+        self.last_used.insert(pool.clone(), context.now);
         if first {
             context.log(What::Asked { request: to_hex(request), hall: pool.0.clone(), home: home.clone() });
         }
         context.send_pool(home, &pool, ToPool::Ask(ask));
     }
 
-    /// Records what a pool's home says.
+    /// Handles a message from the home of a pool.
     pub(crate) fn on_pool(&mut self, context: &mut Context, from: &InstanceId, request: RequestId, message: FromPool) {
         match message {
             FromPool::Grant(endpoint, waited) => self.on_grant(context, from, request, endpoint, waited),
@@ -63,13 +63,13 @@
         waited: Duration,
     ) {
         let Some(call) = self.open.get_mut(&request) else {
-            // The call has ended; the pool must not keep the slot for it.
+            // The call has ended, so the pool must release its slot.
             return_grant(context, from, request, &endpoint);
             return;
         };
         if !matches!(&call.phase, Phase::Asking { home, .. } if home == from) {
-            let runs_there = matches!(&call.phase, Phase::Running { endpoint: held, .. } if *held == endpoint);
-            if !runs_there {
+            let is_duplicate = matches!(&call.phase, Phase::Running { endpoint: held, .. } if *held == endpoint);
+            if !is_duplicate {
                 return_grant(context, from, request, &endpoint);
             }
             return;
@@ -95,7 +95,7 @@
         let unsent = !once || call.ran == Ran::No;
         assert!(context.promises.check(Promise::AtMostOnce, unsent), "{} would be sent twice", to_hex(request));
         let fresh = context.view.is_fresh(context.now, context.options.freshness_bound);
-        assert!(context.promises.check(Promise::Leaving, fresh), "new work on configuration that may be old");
+        assert!(context.promises.check(Promise::Leaving, fresh), "dispatch on configuration that may be stale");
         call.phase = Phase::Running { endpoint: endpoint.clone(), since: context.now };
         call.dispatches += 1;
         call.recalled = false;
@@ -105,29 +105,29 @@
         context.verdict(request, Verdict::Dispatch(dispatch));
     }
 
-    /// A refused call goes on to its next pool; `WaitedOut` is final, as no patience is left.
+    /// Tries the next pool if one is left, except after `WaitedOut`, when the call's patience is used up.
     fn on_refuse(&mut self, context: &mut Context, from: &InstanceId, request: RequestId, refusal: Refusal) {
         let Some(call) = self.open.get_mut(&request) else { return };
         if !matches!(&call.phase, Phase::Asking { home, .. } if home == from) {
             return;
         }
-        let spills = matches!(refusal.code, RefusalCode::Overloaded | RefusalCode::NotAllowed);
-        if spills && call.at + 1 < call.pools.len() && context.now < call.deadline {
-            call.at += 1;
+        let may_try_next = matches!(refusal.code, RefusalCode::Overloaded | RefusalCode::NotAllowed);
+        if may_try_next && call.pool_index + 1 < call.pools.len() && context.now < call.deadline {
+            call.pool_index += 1;
             self.ask(context, request);
             return;
         }
         self.refuse(context, request, refusal);
     }
 
-    /// Advances time: repeats asks, follows moved homes, gives up what waited out, reports holdings.
+    /// Advances time: retries asks, follows pools to new homes, refuses expired calls and reports grants.
     pub(crate) fn tick(&mut self, context: &mut Context) {
         let requests: Vec<RequestId> = self.open.keys().copied().collect();
         for request in requests {
             self.tick_call(context, request);
         }
-        if context.now >= self.synced + SYNC {
-            self.synced = context.now;
+        if context.now >= self.last_sync + SYNC_INTERVAL {
+            self.last_sync = context.now;
             self.sync(context);
         }
     }
@@ -137,17 +137,17 @@
         match &call.phase {
             Phase::Claiming { next } if context.now >= *next => idempotency::claim(self, context, request),
             Phase::Asking { home, sent } => {
-                // The pool refuses in time; this is for a pool that has gone silent.
-                if context.now >= call.deadline + ASK_RETRY {
+                // Usually the pool refuses first; this covers a home that doesn't answer.
+                if context.now >= call.deadline + ASK_RETRY_INTERVAL {
                     let text = "no decision came in time";
-                    let refusal = Refusal::not_run(RefusalCode::WaitedOut, text, Some(ASK_RETRY));
+                    let refusal = Refusal::not_run(RefusalCode::WaitedOut, text, Some(ASK_RETRY_INTERVAL));
                     self.refuse(context, request, refusal);
                     return;
                 }
                 let pool = call.pool();
                 let moved =
                     pool.and_then(|(hall, model)| context.view.home(hall, model)).is_some_and(|now| now != *home);
-                if moved || context.now >= *sent + ASK_RETRY {
+                if moved || context.now >= *sent + ASK_RETRY_INTERVAL {
                     self.ask(context, request);
                 }
             }
@@ -155,11 +155,11 @@
         }
     }
 
-    /// Tells each pool's home a digest of what is held there; one that does not fit is asked for in full.
+    /// Sends each pool's home a digest of the grants held; if it doesn't match, the home asks for all of them.
     fn sync(&mut self, context: &mut Context) {
         let now = context.now;
-        self.used.retain(|_, used| now < *used + POOL_MEMORY);
-        let mut held: BTreeMap<PoolId, u64> = self.used.keys().map(|pool| (pool.clone(), 0)).collect();
+        self.last_used.retain(|_, used| now < *used + POOL_RETENTION);
+        let mut held: BTreeMap<PoolId, u64> = self.last_used.keys().map(|pool| (pool.clone(), 0)).collect();
         for (request, call) in &self.open {
             let (Phase::Running { .. }, Some(pool)) = (&call.phase, call.pool()) else { continue };
             let digest = held.entry(pool.clone()).or_default();
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Sends all that is held in a pool to its home.
+    /// Sends all grants held in a pool to its home.
     pub(crate) fn resync(&mut self, context: &mut Context, home: InstanceId, pool: &PoolId) {
         let mut holdings = Vec::new();
         for call in self.open.values().filter(|call| call.pool() == Some(pool)) {
@@ -183,7 +183,7 @@
     }
 }
 
-/// Gives a slot back that the call cannot use.
+/// Returns a slot that the call can't use.
 fn return_grant(context: &mut Context, from: &InstanceId, request: RequestId, endpoint: &EndpointId) {
     let pool = reach::endpoint(&context.view.config, endpoint).and_then(reach::pool_of);
     if let Some(pool) = pool {
@@ -191,6 +191,7 @@
     }
 }
 
+/// Withdraws the ask of a call that waits for a slot.
 pub(super) fn withdraw(context: &mut Context, call: &Call) {
     let (Phase::Asking { home, .. }, Some(pool)) = (&call.phase, call.pool()) else { return };
     context.send_pool(home.clone(), pool, ToPool::Withdraw(call.arrival.request));
--- a/crates/rudder-core/src/document_history.rs
+++ b/crates/rudder-core/src/document_history.rs
@@ -11,7 +11,7 @@
 /// Bytes of all versions above which only the newest is kept.
 const MAX_OLD_BYTES: usize = 1 << 20;
 /// A patch is sent if it is smaller than the document by at least this factor.
-const MIN_PATCH_SAVING: usize = 2;
+const MIN_SIZE_RATIO: usize = 2;
 
 /// The newest versions, oldest first.
 #[derive(Debug, Default)]
@@ -54,6 +54,6 @@
             self.patch = Some((patch, size));
         }
         let (patch, size) = self.patch.as_ref()?;
-        (size * MIN_PATCH_SAVING <= newest.body.len()).then(|| patch.clone())
+        (size * MIN_SIZE_RATIO <= newest.body.len()).then(|| patch.clone())
     }
 }
