--- a/crates/rudder-core/src/duties/intake.rs
+++ b/crates/rudder-core/src/duties/intake.rs
@@ -1,4 +1,4 @@
-//! Counts of requests on their way into the replicated log, at the leader, and the closing of windows.
+//! Commits request counts of all instances to the replicated log and closes windows, at the leader.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -6,7 +6,7 @@
 use rudder_ledger::{Command, Count, Counts, Source, Tally, Usage, Window};
 use rudder_model::{InstanceId, OrgId, Start};
 
-use super::{Context, PROPOSE_AGAIN};
+use super::{Context, PROPOSE_RETRY_INTERVAL};
 use crate::{
     Effect, PeerMessage,
     options::UsageOptions,
@@ -14,51 +14,53 @@
     usage::{UsageAck, UsageUpdate, window_end, window_of},
 };
 
-/// Time between two commands of counts: what comes in between goes into one.
-const BATCH: Duration = Duration::from_millis(150);
-/// A report is sent this long before it is due at the latest, so that a change of holders and a slow receiver
-/// still leave time: an election and a handover of three seconds.
+/// Minimum time between two commands of counts; counts received in between are batched.
+const BATCH_INTERVAL: Duration = Duration::from_millis(150);
+/// A window is closed at least this long before its report is due, which leaves time for an election and a handover of
+/// three seconds.
 const REPORT_MARGIN: Duration = Duration::from_millis(3500);
-/// Windows without any requests that are reported after a time in which nothing served. Older ones are passed over.
-const GAP_MOST: u64 = 24;
+/// Most empty windows reported after a time without any requests; older ones are skipped.
+const MAX_EMPTY_WINDOWS: u64 = 24;
 
-/// A message whose counts the log does not hold yet.
+/// A message whose counts aren't committed yet.
 #[derive(Debug)]
-struct Waiting {
+struct Pending {
     from: InstanceId,
     news: UsageUpdate,
 }
 
-/// What an instance has said of its windows.
+/// Up to which window an instance has reported its requests.
 #[derive(Debug)]
-struct Known {
+struct Progress {
     start: Start,
+    /// It has reported everything before this window.
     before: Window,
+    /// When it reported that.
     at: Duration,
 }
 
-/// Counts that have come in.
+/// Counts received from all instances.
 #[derive(Debug, Default)]
 pub(crate) struct Intake {
-    waiting: BTreeMap<Start, Waiting>,
-    known: BTreeMap<InstanceId, Known>,
-    /// The command under way: the index that it has in the log, and when it was proposed.
+    pending: BTreeMap<Start, Pending>,
+    progress: BTreeMap<InstanceId, Progress>,
+    /// The last command: its index in the log, and when it was proposed.
     batch: Option<(u64, Duration)>,
-    /// Those who were live when this instance began to lead are expected to tell.
+    /// Whether this instance has begun to lead, and expects reports of all live instances.
     leads: bool,
-    /// When a window was last proposed to be closed.
+    /// The window last proposed to be closed, and when.
     closing: Option<(Window, Duration)>,
 }
 
 impl Intake {
-    /// Forgets all: senders tell the next leader again.
+    /// Drops everything; senders repeat their counts to the next leader.
     pub(crate) fn clear(&mut self) {
         *self = Intake::default();
     }
 
-    /// Handles a message.
-    pub(crate) fn note(&mut self, from: &InstanceId, news: UsageUpdate) {
-        self.waiting.insert(news.start, Waiting { from: from.clone(), news });
+    /// Records a message with counts.
+    pub(crate) fn record(&mut self, from: &InstanceId, news: UsageUpdate) {
+        self.pending.insert(news.start, Pending { from: from.clone(), news });
     }
 
     /// Advances time, at the leader.
@@ -66,23 +68,23 @@
         let now = context.now;
         if !self.leads {
             self.leads = true;
-            self.expect(now, context.control.directory());
+            self.expect_reports(now, context.control.directory());
         }
         self.answer(now, &context.control.ledger.usage, context.out);
-        self.known.retain(|_, known| now < known.at + usage.due);
+        self.progress.retain(|_, progress| now < progress.at + usage.due);
         self.propose_batch(context);
         self.close(context, usage);
     }
 
-    /// Proposes the counts that have come in, one command at a time.
+    /// Proposes the pending counts, one command at a time.
     fn propose_batch(&mut self, context: &mut Context) {
         let (now, applied) = (context.now, context.control.ledger.index);
-        let runs = self.batch.is_some_and(|(index, at)| applied < index && now < at + PROPOSE_AGAIN);
-        let rests = self.batch.is_some_and(|(_, at)| now < at + BATCH);
-        if runs || rests {
+        let in_flight = self.batch.is_some_and(|(index, at)| applied < index && now < at + PROPOSE_RETRY_INTERVAL);
+        let too_soon = self.batch.is_some_and(|(_, at)| now < at + BATCH_INTERVAL);
+        if in_flight || too_soon {
             return;
         }
-        let tally = to_tally(&self.waiting, &context.control.ledger.usage);
+        let tally = to_tally(&self.pending, &context.control.ledger.usage);
         if tally.sources.is_empty() {
             return;
         }
@@ -90,35 +92,35 @@
         self.batch = index.map(|index| (index, now));
     }
 
-    /// A new leader knows of nobody what it has told. Who was live may be out of reach since and come back.
-    fn expect(&mut self, now: Duration, directory: &Directory) {
+    /// Expects a report of every instance that was live when this one began to lead, even if it is unreachable now.
+    fn expect_reports(&mut self, now: Duration, directory: &Directory) {
         for listing in directory.values().filter(|listing| listing.address.is_some()) {
-            let known = Known { start: listing.start, before: 0, at: now };
-            self.known.entry(listing.name.clone()).or_insert(known);
+            let progress = Progress { start: listing.start, before: 0, at: now };
+            self.progress.entry(listing.name.clone()).or_insert(progress);
         }
     }
 
-    /// Answers the senders whose counts the log holds.
+    /// Acknowledges the messages whose counts are committed.
     fn answer(&mut self, now: Duration, usage: &Usage, out: &mut Vec<Effect>) {
-        let known = &mut self.known;
-        self.waiting.retain(|start, waiting| {
-            let news = &waiting.news;
+        let progress = &mut self.progress;
+        self.pending.retain(|start, pending| {
+            let news = &pending.news;
             if news.sequence > usage.taken(*start) {
                 return true;
             }
-            known.insert(waiting.from.clone(), Known { start: *start, before: news.before, at: now });
+            progress.insert(pending.from.clone(), Progress { start: *start, before: news.before, at: now });
             let taken = UsageAck { start: *start, sequence: news.sequence, before: news.before };
-            out.push(Effect::Send { to: waiting.from.clone(), message: PeerMessage::UsageAck(taken) });
+            out.push(Effect::Send { to: pending.from.clone(), message: PeerMessage::UsageAck(taken) });
             false
         });
     }
 
-    /// Closes the next window once all have told what began in it, or when its report cannot wait any longer.
+    /// Closes the next window once all instances have reported it, or when its report can't wait any longer.
     fn close(&mut self, context: &mut Context, usage: &UsageOptions) {
         let (now, time) = (context.now, context.time);
-        let held = &context.control.ledger.usage;
-        let Some(window) = next_window(held, window_of(time, usage.window)) else { return };
-        if self.closing.is_some_and(|(closing, at)| closing == window && now < at + PROPOSE_AGAIN) {
+        let committed = &context.control.ledger.usage;
+        let Some(window) = next_window(committed, window_of(time, usage.window)) else { return };
+        if self.closing.is_some_and(|(closing, at)| closing == window && now < at + PROPOSE_RETRY_INTERVAL) {
             return;
         }
         let lag = time.saturating_sub(window_end(window, usage.window));
@@ -130,7 +132,7 @@
             return;
         }
         self.closing = Some((window, now));
-        let counts = held.open(window);
+        let counts = committed.open(window);
         let requests = counts.map_or(0, |counts| counts.values().sum());
         let organisations = counts.map_or(0, Counts::len);
         let lag_ms = lag.as_millis() as u64;
@@ -138,39 +140,42 @@
         context.append(Command::CloseWindow(window));
     }
 
-    /// Instances that have not told all that began there in `window`: live ones, and those that told something of late
-    /// and may only be out of reach. One that has started anew has nothing more to tell of its earlier start.
+    /// Number of instances that haven't reported all their requests of `window`: live ones, and those that reported recently
+    /// and may only be unreachable. A restarted instance has nothing more to report for its earlier start.
     fn missing(&self, window: Window, directory: &Directory) -> usize {
         let live = directory.values().filter(|listing| listing.address.is_some());
-        let silent = live.filter(|listing| {
-            let known = self.known.get(&listing.name).filter(|known| known.start == listing.start);
-            known.is_none_or(|known| known.before <= window)
+        let behind = live.filter(|listing| {
+            let progress = self.progress.get(&listing.name).filter(|progress| progress.start == listing.start);
+            progress.is_none_or(|progress| progress.before <= window)
         });
-        let gone = self.known.iter().filter(|(name, known)| directory.get(&**name).is_none() && known.before <= window);
-        let waiting =
-            self.waiting.values().filter(|waiting| waiting.news.counts.iter().any(|told| told.window <= window));
-        silent.count() + gone.count() + waiting.count()
+        let gone = self
+            .progress
+            .iter()
+            .filter(|(name, progress)| directory.get(&**name).is_none() && progress.before <= window);
+        let pending =
+            self.pending.values().filter(|pending| pending.news.counts.iter().any(|count| count.window <= window));
+        behind.count() + gone.count() + pending.count()
     }
 }
 
-/// The window to close next; `None` where there is nothing to report yet.
+/// The window to close next; `None` if there is nothing to report yet.
 fn next_window(usage: &Usage, current: Window) -> Option<Window> {
     let next = usage.next().or_else(|| usage.first_open())?;
     let oldest = usage.first_open().unwrap_or(current).max(next);
-    Some(next.max(oldest.min(current.saturating_sub(GAP_MOST))))
+    Some(next.max(oldest.min(current.saturating_sub(MAX_EMPTY_WINDOWS))))
 }
 
-/// The counts of all messages that can be taken now.
-fn to_tally(waiting: &BTreeMap<Start, Waiting>, usage: &Usage) -> Tally {
+/// The counts of all messages that are next in the sequence of their sender.
+fn to_tally(pending: &BTreeMap<Start, Pending>, usage: &Usage) -> Tally {
     let mut tally = Tally::default();
     let mut sums: BTreeMap<(Window, OrgId), u64> = BTreeMap::new();
-    for (start, waiting) in waiting {
-        let source = Source { start: *start, sequence: waiting.news.sequence };
+    for (start, message) in pending {
+        let source = Source { start: *start, sequence: message.news.sequence };
         if !usage.is_next(source) {
             continue;
         }
         tally.sources.push(source);
-        for count in &waiting.news.counts {
+        for count in &message.news.counts {
             *sums.entry((count.window, count.org.clone())).or_default() += count.requests;
         }
     }
--- a/crates/rudder-core/src/duties/mod.rs
+++ b/crates/rudder-core/src/duties/mod.rs
@@ -1,14 +1,13 @@
-//! Duties that one instance at a time holds for all: calls to outside receivers that must not come from two.
+//! Duties: calls to outside receivers that only one instance at a time may make.
 //!
-//! The leader of the replicated log holds them, under its lease. A new holder first lets the handover time pass, so that
-//! two holders never act by turns within it. Every call carries a fence made of the term, which has one leader at
-//! most and is durable at a quorum; so a fence is never used by two instances, and only rises, whatever is lost. The
-//! thread that sends a call looks at the lease again right before it does ([`Effect::Call`]), so one that was paused
-//! between sends nothing.
+//! The leader of the replicated log holds them under its lease. A new holder waits for the handover time before its first
+//! call, so that calls of two holders don't interleave. Every call carries a fencing token derived from the term. A term has
+//! at most one leader and is durable at a quorum, so a token is never used by two instances and only increases. The thread
+//! that sends a call checks the lease again right before it ([`Effect::Call`]), so that a paused holder sends nothing.
 //!
-//! - [`intake`]: counts of requests on their way into the log, and the closing of windows;
+//! - [`intake`]: counts of requests to be committed to the log, and the closing of windows;
 //! - [`reports`]: the report of each closed window, until it is acknowledged;
-//! - [`scaling`]: orders of engines.
+//! - [`scaling`]: orders that set the number of engines.
 
 pub(crate) mod intake;
 pub(crate) mod reports;
@@ -28,26 +27,26 @@
 };
 use crate::{Effect, Me, Options, control::Control, usage::UsageUpdate};
 
-/// Fences of one term: its calls count up in the lower bits. A term that made one call a millisecond could last for 17
-/// minutes before it would reach the next one's fences; calls are bounded to far fewer.
+/// Lower bits of a fence, which count the calls of a term: enough for one call per millisecond over 17 minutes, far more
+/// than are made.
 const FENCE_BITS: u32 = 20;
-/// After the first call without success, the next one waits this long; each further one twice as long.
-const BACKOFF: Duration = Duration::from_millis(400);
-/// The longest such wait.
-const BACKOFF_MOST: Duration = Duration::from_secs(3);
+/// Delay after the first failed call; it doubles with each further one.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(400);
+/// Longest delay after a failed call.
+const MAX_BACKOFF: Duration = Duration::from_secs(3);
 
-/// A call whose end is not told within this time is forgotten; calls are given up far sooner.
-const FORGET: Duration = Duration::from_secs(10);
-/// A command that the log has not taken after this long is proposed again.
-const PROPOSE_AGAIN: Duration = Duration::from_secs(1);
+/// How long to wait for the outcome of a call; usually it comes far sooner.
+const CALL_TIMEOUT: Duration = Duration::from_secs(10);
+/// A command that isn't committed after this time is proposed again.
+const PROPOSE_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A number that rises with each holder.
+/// A fencing token, which increases with each holder.
 pub type Fence = u64;
 
 /// A call to an outside receiver.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DutyCall {
-    /// Reports the requests of all organisations in one window.
+    /// Reports the number of requests by organisation in one window.
     Usage {
         /// The window.
         window: Window,
@@ -60,15 +59,15 @@
         service: Arc<str>,
         /// The hall.
         hall: HallId,
-        /// Of those that may be taken away, or of the others.
+        /// True for engines on cheaper, reclaimable capacity.
         cheap: bool,
-        /// How many there should be.
+        /// The number of engines wanted.
         count: u32,
     },
 }
 
 impl DutyCall {
-    /// What it is called in logs and figures.
+    /// Its name in logs and metrics.
     pub fn kind(&self) -> &'static str {
         match self {
             DutyCall::Usage { .. } => "usage",
@@ -76,7 +75,7 @@
         }
     }
 
-    /// What it is about, for the log.
+    /// Its subject, for the log.
     pub fn subject(&self) -> String {
         match self {
             DutyCall::Usage { window, .. } => format!("window {window}"),
@@ -90,36 +89,36 @@
 /// How a call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CallOutcome {
-    /// It was carried out.
+    /// The receiver carried it out.
     Taken,
-    /// A higher fence was seen, so another instance holds the duty.
+    /// The receiver has seen a higher fence, so another instance holds the duty.
     Outranked,
-    /// No engines of this kind are to be had there now.
+    /// No engines of this kind are available in the hall now.
     NoneLeft,
-    /// The receiver takes no more calls now; this one was not carried out.
+    /// The receiver is overloaded and didn't carry it out.
     Busy,
     /// The lease ended before it was sent.
     Lapsed,
-    /// No answer, or none that says more: it may have been carried out or still be.
+    /// No conclusive answer: it may have been carried out, or may still be.
     Unknown,
 }
 
-/// A call under way, about `subject`.
+/// A call in flight, about `subject`.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Flying<T> {
+pub(crate) struct InFlight<T> {
     ticket: u64,
     subject: T,
     since: Duration,
 }
 
-impl<T> Flying<T> {
-    /// True where its end is no longer waited for.
-    pub(crate) fn is_forgotten(&self, now: Duration) -> bool {
-        now >= self.since + FORGET
+impl<T> InFlight<T> {
+    /// True if its outcome is no longer expected.
+    pub(crate) fn has_timed_out(&self, now: Duration) -> bool {
+        now >= self.since + CALL_TIMEOUT
     }
 }
 
-/// Waits between calls that do not succeed.
+/// Exponential backoff after failed calls.
 #[derive(Debug, Default)]
 pub(crate) struct Backoff {
     failures: u32,
@@ -132,32 +131,32 @@
         *self = Backoff::default();
     }
 
-    /// Records a failure; `salt` spreads the waits of different callers.
-    pub(crate) fn note_failure(&mut self, now: Duration, salt: u64) {
-        let wait = (BACKOFF * 2_u32.saturating_pow(self.failures)).min(BACKOFF_MOST);
-        let jitter = wait.mul_f64(id::rendezvous("backoff", &salt.to_string()) as f64 / u64::MAX as f64);
+    /// Records a failure; `salt` seeds the jitter.
+    pub(crate) fn record_failure(&mut self, now: Duration, salt: u64) {
+        let delay = (INITIAL_BACKOFF * 2_u32.saturating_pow(self.failures)).min(MAX_BACKOFF);
+        let jitter = delay.mul_f64(id::rendezvous("backoff", &salt.to_string()) as f64 / u64::MAX as f64);
         self.failures += 1;
-        self.until = now + wait / 2 + jitter / 2;
+        self.until = now + delay / 2 + jitter / 2;
     }
 
     /// True while the next call has to wait.
-    pub(crate) fn holds(&self, now: Duration) -> bool {
+    pub(crate) fn is_active(&self, now: Duration) -> bool {
         now < self.until
     }
 }
 
-/// The duties of this instance; idle at all but the leader.
+/// The duties of this instance; idle except at the leader.
 #[derive(Debug, Default)]
 pub struct Duties {
     intake: Intake,
     reports: Reports,
     scaling: Scaling,
-    /// Counts all calls.
+    /// Number of calls so far.
     tickets: u64,
-    /// Term in which it holds them.
-    held: Option<u64>,
-    /// Term in which a receiver said that another instance holds them.
-    outranked: Option<u64>,
+    /// Term in which this instance holds the duties.
+    held_term: Option<u64>,
+    /// Term in which a receiver reported a higher fence.
+    outranked_term: Option<u64>,
 }
 
 /// The first fence of a term.
@@ -165,24 +164,24 @@
     term << FENCE_BITS
 }
 
-/// What the duties of a leader work with at one moment.
+/// The parts of the instance that duties use.
 pub(crate) struct Context<'a> {
-    /// The instance's own time.
+    /// Monotonic time of the instance.
     pub now: Duration,
     /// The agreed time of day.
     pub time: Duration,
     /// The instance.
     pub me: &'a Me,
-    /// The shared state.
+    /// The replicated state.
     pub control: &'a mut Control,
     /// Its settings.
     pub options: &'a Options,
-    /// What to do.
+    /// Resulting effects.
     pub out: &'a mut Vec<Effect>,
 }
 
 impl Context<'_> {
-    /// Appends a command to the log. Returns its place there, or `None` where this instance no longer leads.
+    /// Appends a command to the log. Returns its index, or `None` if this instance no longer leads.
     fn append(&mut self, command: Command) -> Option<u64> {
         self.control.append(self.now, self.me, command, self.options, self.out)
     }
@@ -196,13 +195,13 @@
             return;
         }
         if context.control.leads_since(context.now).is_none() {
-            self.lose(context.out);
+            self.release(context.out);
             return;
         }
         if let Some(usage) = &options.duties.usage {
             self.intake.tick(&mut context, usage);
         }
-        if !self.take_hold(&mut context) {
+        if !self.acquire(&mut context) {
             return;
         }
         if let Some(usage) = &options.duties.usage {
@@ -210,36 +209,37 @@
         }
     }
 
-    /// True where this instance makes calls now.
-    fn take_hold(&mut self, context: &mut Context) -> bool {
+    /// Takes over the duties if the handover time has passed. Returns whether this instance may make calls now.
+    fn acquire(&mut self, context: &mut Context) -> bool {
         let handover = context.options.duties.handover;
         let Some(term) = context.control.duty_term(context.now, handover) else { return false };
-        if self.outranked == Some(term) {
+        if self.outranked_term == Some(term) {
             return false;
         }
-        if self.held != Some(term) {
-            self.held = Some(term);
+        if self.held_term != Some(term) {
+            self.held_term = Some(term);
             context.out.push(Effect::Log(What::DutyHeld { held: true, fence: fence(term) }));
         }
         true
     }
 
-    /// Records how services stand, and orders what they lack.
+    /// Records the state of the services, and orders engines where needed.
     pub(crate) fn on_services(&mut self, mut context: Context, states: Vec<ServiceState>) {
         let options = context.options;
         let Some(scaling) = options.duties.scaling.as_ref().filter(|scaling| scaling.enabled) else { return };
         if context.control.leads_since(context.now).is_none() {
             return;
         }
-        // Before the handover is over it watches, so that it knows all engines when it may order.
+        // Plans also during the handover, so that the demand is known when orders are allowed.
         let plans = self.scaling.plan(context.now, states, scaling);
-        if self.take_hold(&mut context) {
+        if self.acquire(&mut context) {
             self.scaling.order_all(&mut context, plans, &mut self.tickets);
         }
     }
 
-    fn lose(&mut self, out: &mut Vec<Effect>) {
-        if let Some(term) = self.held.take() {
+    /// Gives up the duties.
+    fn release(&mut self, out: &mut Vec<Effect>) {
+        if let Some(term) = self.held_term.take() {
             out.push(Effect::Log(What::DutyHeld { held: false, fence: fence(term) }));
         }
         self.intake.clear();
@@ -247,15 +247,15 @@
         self.scaling.clear();
     }
 
-    /// Handles a message of counts. Only a leader answers it.
+    /// Handles a message with request counts. Only a leader answers it.
     pub(crate) fn on_usage(&mut self, from: &InstanceId, news: UsageUpdate) {
-        self.intake.note(from, news);
+        self.intake.record(from, news);
     }
 
-    /// Records how a call ended.
+    /// Records the outcome of a call.
     pub(crate) fn on_called(&mut self, now: Duration, ticket: u64, outcome: CallOutcome) {
         if outcome == CallOutcome::Outranked {
-            self.outranked = self.held;
+            self.outranked_term = self.held_term;
         }
         self.reports.on_called(now, ticket, outcome);
         self.scaling.on_called(now, ticket, outcome);
--- a/crates/rudder-core/src/duties/reports.rs
+++ b/crates/rudder-core/src/duties/reports.rs
@@ -1,41 +1,43 @@
-//! Reports of closed windows to their receiver, one at a time and the oldest first, at the holder.
+//! Reports of closed windows to their receiver, one at a time and oldest first, at the holder of the duties.
 //!
-//! What is sent is what the replicated log holds of a closed window, so every repeat is the same, by whichever holder.
+//! A report is made from the replicated log, so retries have the same content, also those by another holder.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use rudder_ledger::{Command, Window};
 
-use super::{Backoff, CallOutcome, Context, DutyCall, Flying, PROPOSE_AGAIN, fence};
+use super::{Backoff, CallOutcome, Context, DutyCall, InFlight, PROPOSE_RETRY_INTERVAL, fence};
 use crate::{Effect, options::UsageOptions, usage::window_end};
 
-/// Reports under way.
+/// State of the reports.
 #[derive(Debug, Default)]
 pub(crate) struct Reports {
-    flying: Option<Flying<Window>>,
+    in_flight: Option<InFlight<Window>>,
     backoff: Backoff,
-    /// Windows acknowledged, with when that was last proposed to the log.
-    done: BTreeMap<Window, Option<Duration>>,
+    /// Windows acknowledged by the receiver, and when that was last proposed to the log.
+    acknowledged: BTreeMap<Window, Option<Duration>>,
 }
 
 impl Reports {
-    /// Forgets all.
+    /// Drops everything.
     pub(crate) fn clear(&mut self) {
         *self = Reports::default();
     }
 
-    /// Sends the next report where none is under way. `tickets` counts the calls of all duties.
+    /// Sends the next report if none is in flight. `tickets` counts the calls of all duties.
     pub(crate) fn tick(&mut self, context: &mut Context, usage: &UsageOptions, tickets: &mut u64) {
-        self.record_done(context);
+        self.propose_acknowledged(context);
         let now = context.now;
-        self.flying.take_if(|flying| flying.is_forgotten(now));
-        if self.flying.is_some() || self.backoff.holds(now) {
+        self.in_flight.take_if(|in_flight| in_flight.has_timed_out(now));
+        if self.in_flight.is_some() || self.backoff.is_active(now) {
             return;
         }
         let closed = context.control.ledger.usage.closed();
-        let Some((window, counts)) = closed.iter().find(|(window, _)| !self.done.contains_key(window)) else { return };
+        let Some((window, counts)) = closed.iter().find(|(window, _)| !self.acknowledged.contains_key(window)) else {
+            return;
+        };
         *tickets += 1;
-        self.flying = Some(Flying { ticket: *tickets, subject: *window, since: now });
+        self.in_flight = Some(InFlight { ticket: *tickets, subject: *window, since: now });
         let ended = window_end(*window, usage.window);
         context.out.push(Effect::Call {
             ticket: *tickets,
@@ -45,12 +47,12 @@
         });
     }
 
-    /// Lets the log forget the windows that were acknowledged.
-    fn record_done(&mut self, context: &mut Context) {
+    /// Proposes to the log that windows were acknowledged, so that it drops them.
+    fn propose_acknowledged(&mut self, context: &mut Context) {
         let (now, closed) = (context.now, context.control.ledger.usage.closed());
-        self.done.retain(|window, _| closed.contains_key(window));
-        for (window, proposed) in &mut self.done {
-            if proposed.is_some_and(|at| now < at + PROPOSE_AGAIN) {
+        self.acknowledged.retain(|window, _| closed.contains_key(window));
+        for (window, proposed) in &mut self.acknowledged {
+            if proposed.is_some_and(|at| now < at + PROPOSE_RETRY_INTERVAL) {
                 continue;
             }
             *proposed = Some(now);
@@ -58,14 +60,14 @@
         }
     }
 
-    /// Records how a call ended.
+    /// Records the outcome of a call.
     pub(crate) fn on_called(&mut self, now: Duration, ticket: u64, outcome: CallOutcome) {
-        let Some(flying) = self.flying.take_if(|flying| flying.ticket == ticket) else { return };
+        let Some(in_flight) = self.in_flight.take_if(|in_flight| in_flight.ticket == ticket) else { return };
         if outcome == CallOutcome::Taken {
             self.backoff.clear();
-            self.done.insert(flying.subject, None);
+            self.acknowledged.insert(in_flight.subject, None);
         } else {
-            self.backoff.note_failure(now, ticket);
+            self.backoff.record_failure(now, ticket);
         }
     }
 }
