--- a/crates/rudder-core/tests/delta_map.rs
+++ b/crates/rudder-core/tests/delta_map.rs
@@ -1,4 +1,4 @@
-//! Entries that spread as deltas: copies that ask at any time, in pages, and of different leaders, come to hold the same.
+//! Replication of a map by deltas: copies that ask at any time, in pages and of different leaders, converge.
 
 use std::collections::BTreeMap;
 
@@ -8,17 +8,17 @@
 
 type Entries = DeltaMap<u32, u32>;
 
-/// Values above this are told to nobody.
-const KEPT_BACK: u32 = 90;
+/// Values above this are sent to no copy.
+const MAX_SENT: u32 = 90;
 
 fn held(copy: &Entries) -> BTreeMap<u32, u32> {
     copy.keys().copied().zip(copy.values().copied()).collect()
 }
 
-fn ask(leader: &Entries, copy: &mut Entries, most: usize) {
-    let news = leader.delta_for(copy.version(), most, false, |_| Some(0));
-    if let Some(news) = news {
-        copy.apply(news, |_, _| true, |_, _| false);
+fn ask(leader: &Entries, copy: &mut Entries, limit: usize) {
+    let delta = leader.delta_for(copy.version(), limit, false, |_| Some(0));
+    if let Some(delta) = delta {
+        copy.apply(delta, |_, _| true, |_, _| false);
     }
 }
 
@@ -30,16 +30,16 @@
     }
 }
 
-/// Asks until nothing is lacking.
-fn catch_up(leader: &Entries, copy: &mut Entries, most: usize) {
+/// Asks until the copy is up to date.
+fn catch_up(leader: &Entries, copy: &mut Entries, limit: usize) {
     for _ in 0..200 {
-        ask(leader, copy, most);
+        ask(leader, copy, limit);
     }
     assert_eq!(copy.version(), leader.version());
 }
 
 macro_rules! pages {
-    ($($name:ident: $most:expr;)*) => {
+    ($($name:ident: $limit:expr;)*) => {
         $(#[test] fn $name() {
             for seed in 0..200 {
                 let mut rng = Pcg32::seed_from_u64(seed);
@@ -49,17 +49,17 @@
                 for step in 0..300 {
                     change(&mut rng, &mut leader);
                     let number = rng.random_range(0..copies.len());
-                    ask(&leader, &mut copies[number], $most);
+                    ask(&leader, &mut copies[number], $limit);
                     if step % 90 == 89 {
-                        // A copy that lacks nothing leads next.
+                        // An up-to-date copy leads next.
                         let number = rng.random_range(0..copies.len());
-                        catch_up(&leader, &mut copies[number], $most);
+                        catch_up(&leader, &mut copies[number], $limit);
                         leader = copies[number].clone();
                         leader.begin_term(2 + step);
                     }
                 }
                 for copy in &mut copies {
-                    catch_up(&leader, copy, $most);
+                    catch_up(&leader, copy, $limit);
                     assert_eq!(held(copy), held(&leader), "seed {seed}");
                 }
             }
@@ -68,45 +68,45 @@
 }
 
 pages! {
-    copies_hold_the_same_whatever_they_missed: usize::MAX;
-    copies_that_are_told_in_pages_hold_the_same: 3;
+    copies_converge: usize::MAX;
+    copies_converge_in_pages: 3;
 }
 
-/// What is kept back and shown later comes as a change, also to those who had asked meanwhile.
+/// A withheld entry that changes is sent also to copies that have asked in between.
 #[test]
-fn what_was_kept_back_is_told_once_it_has_changed() {
-    let tells = |value: &u32| (*value <= KEPT_BACK).then_some(0);
+fn a_withheld_entry_is_sent_after_it_changes() {
+    let included_since = |value: &u32| (*value <= MAX_SENT).then_some(0);
     let mut leader = Entries::default();
     leader.begin_term(1);
     for key in 0..10 {
         leader.set(key, 95);
     }
     let mut copy = Entries::default();
-    let take = |leader: &Entries, copy: &mut Entries| {
-        let news: Option<MapDelta<u32, u32>> = leader.delta_for(copy.version(), 100, false, tells);
-        if let Some(news) = news {
-            copy.apply(news, |_, _| true, |_, _| false);
+    let update = |leader: &Entries, copy: &mut Entries| {
+        let delta: Option<MapDelta<u32, u32>> = leader.delta_for(copy.version(), 100, false, included_since);
+        if let Some(delta) = delta {
+            copy.apply(delta, |_, _| true, |_, _| false);
         }
     };
-    take(&leader, &mut copy);
+    update(&leader, &mut copy);
     assert!(copy.is_empty());
     leader.set(3, 5);
-    take(&leader, &mut copy);
+    update(&leader, &mut copy);
     assert_eq!(held(&copy), BTreeMap::from([(3, 5)]));
 }
 
-/// From a version on, more is told to a holder; that comes though it has not changed since.
+/// A copy that receives more entries from a version on is sent also those that haven't changed since.
 #[test]
-fn what_is_told_since_a_version_is_told_anew() {
+fn an_entry_included_since_a_version_is_sent_without_a_change() {
     let mut leader = Entries::default();
     leader.begin_term(1);
     leader.set(1, 10);
     leader.set(2, 20);
     let before = leader.version();
     let since = leader.advance();
-    let lacked = |anew: bool| {
-        let news = leader.delta_for(before, 100, anew, |value| (*value == 20).then_some(since));
-        news.map(|news| news.entries.iter().map(|told| told.key).collect::<Vec<_>>())
+    let sent_keys = |rescan: bool| {
+        let delta = leader.delta_for(before, 100, rescan, |value| (*value == 20).then_some(since));
+        delta.map(|delta| delta.entries.iter().map(|entry| entry.key).collect::<Vec<_>>())
     };
-    assert_eq!((lacked(false), lacked(true)), (Some(vec![]), Some(vec![2])));
+    assert_eq!((sent_keys(false), sent_keys(true)), (Some(vec![]), Some(vec![2])));
 }
--- a/crates/rudder-core/tests/duties.rs
+++ b/crates/rudder-core/tests/duties.rs
@@ -1,4 +1,4 @@
-//! Duties that one instance holds for all, under the loss of holders, disks, links and answers.
+//! Duties under the loss of holders, disks, messages and answers.
 
 mod mesh;
 
@@ -15,8 +15,9 @@
 };
 use rudder_route::scale::{Bounds, Demand, HallEngines, ScaleOptions};
 
-/// Instances, the first five of them with disks.
+/// Number of instances.
 const TOTAL: usize = 12;
+/// Number of instances with disks, which come first.
 const DISKS: usize = 5;
 const ORG: &str = "acme";
 
@@ -32,7 +33,7 @@
     mesh
 }
 
-/// Requests begin everywhere, fifty a second. Returns how many.
+/// Starts 50 requests per second over all instances. Returns how many were started.
 fn serve(mesh: &mut Mesh, span: Duration) -> u64 {
     let end = mesh.now + span;
     let mut count = 0;
@@ -47,7 +48,7 @@
     count
 }
 
-/// Time for all windows that have begun to be reported.
+/// Waits until all windows are reported.
 fn settle(mesh: &mut Mesh) {
     mesh.run(Duration::from_secs(22));
 }
@@ -62,7 +63,7 @@
     assert_eq!(mesh.receiver.reported(ORG), begun);
 }
 
-/// Serves while the receiver is in a mode, after which it answers again.
+/// Serves while the receiver behaves as `mode`; afterwards it answers again.
 fn serve_under(mesh: &mut Mesh, mode: ReceiverMode, time: Duration) -> u64 {
     mesh.receiver.mode = mode;
     let begun = serve(mesh, time);
@@ -70,16 +71,16 @@
     begun
 }
 
-macro_rules! exact {
-    ($($name:ident: $trouble:expr;)*) => {
+macro_rules! exactly_once {
+    ($($name:ident: $fault:expr;)*) => {
         $(
-            /// Every request is reported once, in one report a window.
+            /// Every request is reported exactly once, in one report per window.
             #[test]
             fn $name() {
                 let mut mesh = start();
                 let mut begun = serve(&mut mesh, Duration::from_secs(7));
-                let trouble: fn(&mut Mesh) -> u64 = $trouble;
-                begun += trouble(&mut mesh);
+                let fault: fn(&mut Mesh) -> u64 = $fault;
+                begun += fault(&mut mesh);
                 begun += serve(&mut mesh, Duration::from_secs(7));
                 settle(&mut mesh);
                 check(&mesh, begun);
@@ -88,10 +89,10 @@
     };
 }
 
-exact! {
-    a_calm_day: |_| 0;
+exactly_once! {
+    no_fault: |_| 0;
     the_holder_is_killed: |mesh| {
-        // What it had begun itself is told first: a killed process loses what it has not.
+        // Lets it report its own requests first, as a killed process loses unreported ones.
         mesh.run(Duration::from_secs(1));
         let number = leader(mesh);
         mesh.kill(number);
@@ -100,7 +101,7 @@
         mesh.run(Duration::from_secs(1));
         0
     };
-    the_holder_stands_still_and_wakes: |mesh| {
+    the_holder_is_paused_and_resumes: |mesh| {
         let number = leader(mesh);
         mesh.nodes[number].paused = true;
         let begun = serve(mesh, Duration::from_secs(4));
@@ -170,16 +171,16 @@
     };
 }
 
-/// Each request counts in the window in which it began, by the time that most clocks tell.
+/// A request counts in the window in which it began by the agreed time, even if single clocks are wrong.
 #[test]
-fn a_window_holds_what_began_in_it_whatever_single_clocks_say() {
+fn a_request_counts_in_its_window_whatever_single_clocks_say() {
     let mut mesh = start();
     let origin = Duration::from_secs(1_000_000);
     for number in [leader(&mesh), 7] {
         mesh.send_event(number, Event::ClockStepped(origin + Duration::from_secs(2)));
     }
     mesh.run(Duration::from_secs(2));
-    // 100 requests within one window of 5 s, none within half a second of its edges.
+    // 100 requests within one window of 5 s, at least half a second from its edges.
     let length = Duration::from_secs(5);
     let into = Duration::from_micros(((origin + mesh.now).as_micros() % length.as_micros()) as u64);
     mesh.run(length.saturating_sub(into) + Duration::from_millis(500));
@@ -193,7 +194,7 @@
     check(&mesh, 100);
 }
 
-/// An instance that cannot be reached is waited for, as long as the report is not due.
+/// A window stays open for an unreachable instance until its report is due.
 #[test]
 fn a_window_waits_for_an_instance_that_was_cut_off() {
     let mut mesh = start();
@@ -208,7 +209,7 @@
     check(&mesh, 2);
 }
 
-/// One that does not come back does not hold up the report until it is late.
+/// A lost instance doesn't delay the report beyond its due time.
 #[test]
 fn a_window_is_reported_in_time_without_an_instance_that_is_lost() {
     let mut mesh = start();
@@ -224,9 +225,9 @@
     check(&mesh, 1);
 }
 
-/// Without the look at the lease, an instance that wakes writes on a lease that has ended: the checks see it.
+/// Without the check of the lease, a paused holder makes calls after its lease has ended, which the receiver detects.
 #[test]
-fn a_holder_that_does_not_look_at_its_lease_is_found() {
+fn a_holder_that_does_not_check_its_lease_is_detected() {
     let found = (0..40).any(|round| {
         let mut mesh = start();
         mesh.defect = Defect::CallsWithoutLease;
@@ -238,8 +239,9 @@
             serve(&mut mesh, Duration::from_secs(5));
             mesh.wake(number);
         }
-        let old = |made: &[mesh::receiver::ReceivedCall]| made.windows(2).any(|pair| pair[1].by != pair[0].by);
-        assert!(old(&mesh.receiver.calls), "the holder changes");
+        let holder_changed =
+            |made: &[mesh::receiver::ReceivedCall]| made.windows(2).any(|pair| pair[1].by != pair[0].by);
+        assert!(holder_changed(&mesh.receiver.calls), "the holder changes");
         mesh.receiver.stale > 0
     });
     assert!(found);
@@ -247,8 +249,8 @@
 
 const FIRST: [u32; 3] = [20; 3];
 
-/// Tells the holder how a service stands whose engines are `full` and `cheap` in three halls.
-fn describe(mesh: &mut Mesh, demand: Demand, full: [u32; 3], cheap: [u32; 3]) {
+/// Reports a service to the holder, with `full` and `cheap` engines in three halls.
+fn report_service(mesh: &mut Mesh, demand: Demand, full: [u32; 3], cheap: [u32; 3]) {
     let hall = |at: usize| format!("hall-{at}").as_str().into();
     let bounds = Bounds {
         min: 1,
@@ -265,15 +267,15 @@
     }
 }
 
-/// The same several times a second, without demand.
-fn describe_for(mesh: &mut Mesh, seconds: u64, full: [u32; 3], cheap: [u32; 3]) {
-    describe_under(mesh, seconds, Demand::default(), full, cheap);
+/// Reports a service without demand twice a second.
+fn report_service_for(mesh: &mut Mesh, seconds: u64, full: [u32; 3], cheap: [u32; 3]) {
+    report_service_under(mesh, seconds, Demand::default(), full, cheap);
 }
 
-/// The same under a demand.
-fn describe_under(mesh: &mut Mesh, seconds: u64, demand: Demand, full: [u32; 3], cheap: [u32; 3]) {
+/// Reports a service under `demand` twice a second.
+fn report_service_under(mesh: &mut Mesh, seconds: u64, demand: Demand, full: [u32; 3], cheap: [u32; 3]) {
     for _ in 0..seconds * 2 {
-        describe(mesh, demand, full, cheap);
+        report_service(mesh, demand, full, cheap);
         mesh.run(Duration::from_millis(500));
     }
 }
@@ -288,125 +290,125 @@
 }
 
 #[test]
-fn engines_are_ordered_once_and_then_only_what_differs() {
+fn engines_are_ordered_once_and_then_only_if_the_number_changes() {
     let mut mesh = start();
-    describe_for(&mut mesh, 5, FIRST, [0; 3]);
+    report_service_for(&mut mesh, 5, FIRST, [0; 3]);
     assert_eq!((ordered(&mesh, false), ordered(&mesh, true)), (vec![Some(20); 3], vec![Some(20); 3]));
     assert_eq!(scale_calls(&mesh), 6);
-    describe_for(&mut mesh, 2, FIRST, [20; 3]);
+    report_service_for(&mut mesh, 2, FIRST, [20; 3]);
     assert_eq!((ordered(&mesh, false), ordered(&mesh, true)), (vec![Some(0); 3], vec![Some(30); 3]));
-    describe_for(&mut mesh, 60, [0; 3], [30; 3]);
+    report_service_for(&mut mesh, 60, [0; 3], [30; 3]);
     assert_eq!(scale_calls(&mesh), 12, "nothing is ordered again without need");
     assert_eq!(mesh.receiver.violations, Vec::<String>::new());
 }
 
-/// Both kinds share a hall's bound: an order for cheap ones that comes before the others were let go finds no room.
+/// Both kinds share a hall's bound, so an order for cheap engines that overtakes the reduction of the others would fail.
 #[test]
 fn orders_of_a_hall_do_not_overtake_each_other() {
     let mut mesh = start();
     mesh.reorder_calls = true;
-    describe_for(&mut mesh, 5, FIRST, [0; 3]);
-    describe_for(&mut mesh, 3, FIRST, [20; 3]);
+    report_service_for(&mut mesh, 5, FIRST, [0; 3]);
+    report_service_for(&mut mesh, 3, FIRST, [20; 3]);
     assert_eq!((ordered(&mesh, false), ordered(&mesh, true)), (vec![Some(0); 3], vec![Some(30); 3]));
     assert_eq!(mesh.receiver.stale, 0);
 }
 
 #[test]
-fn an_order_whose_engines_do_not_come_is_given_again() {
+fn an_order_whose_engines_do_not_start_is_repeated() {
     let mut mesh = start();
-    describe_for(&mut mesh, 6, FIRST, [0; 3]);
+    report_service_for(&mut mesh, 6, FIRST, [0; 3]);
     assert_eq!(scale_calls(&mesh), 6);
-    describe_for(&mut mesh, 3, FIRST, [0; 3]);
+    report_service_for(&mut mesh, 3, FIRST, [0; 3]);
     assert_eq!(scale_calls(&mesh), 9, "cheap ones, 7 s after the first order");
 }
 
 #[test]
-fn a_new_holder_orders_everything_anew_with_higher_fences() {
+fn a_new_holder_repeats_all_orders_with_higher_fences() {
     let mut mesh = start();
-    describe_for(&mut mesh, 5, [0; 3], [30; 3]);
+    report_service_for(&mut mesh, 5, [0; 3], [30; 3]);
     let before = mesh.receiver.calls.last().expect("orders").clone();
     let number = leader(&mesh);
     mesh.kill(number);
     mesh.run(Duration::from_secs(2));
-    describe_for(&mut mesh, 8, [0; 3], [30; 3]);
+    report_service_for(&mut mesh, 8, [0; 3], [30; 3]);
     let later: Vec<_> = mesh.receiver.calls.iter().filter(|made| made.by != before.by).collect();
     assert_eq!(later.len(), 6);
     assert!(later.iter().all(|made| made.fence > before.fence && made.at >= before.at + HANDOVER));
 }
 
 #[test]
-fn a_hall_without_cheap_engines_is_tried_again_and_made_up_for() {
+fn a_hall_without_cheap_engines_is_retried_and_compensated_by_others() {
     let mut mesh = start();
-    describe_for(&mut mesh, 5, [0; 3], [30; 3]);
+    report_service_for(&mut mesh, 5, [0; 3], [30; 3]);
     mesh.receiver.barred.insert("hall-1".into());
-    describe_for(&mut mesh, 12, [0; 3], [30, 0, 30]);
+    report_service_for(&mut mesh, 12, [0; 3], [30, 0, 30]);
     assert_eq!(ordered(&mesh, true), [Some(40), Some(30), Some(40)], "60 are needed");
     mesh.receiver.barred.clear();
-    describe_for(&mut mesh, 8, [0; 3], [40, 0, 40]);
+    report_service_for(&mut mesh, 8, [0; 3], [40, 0, 40]);
     assert!(ordered(&mesh, true)[1] >= Some(30), "ordered again");
 }
 
-/// Seen: with cheap engines to be had nowhere, those at full price were ordered and let go by turns, every 0.4 s, and none had
-/// the time to start. An order for no cheap ones, which is always taken, was taken for a sign that there are some again.
+/// Guards against ordering and releasing full-price engines in turn: an accepted order for no cheap engines doesn't show that
+/// any are available.
 #[test]
-fn engines_at_full_price_stay_ordered_while_there_are_no_cheap_ones() {
+fn full_price_engines_stay_ordered_while_no_cheap_ones_are_available() {
     let mut mesh = start();
-    describe_for(&mut mesh, 5, [0; 3], [30; 3]);
+    report_service_for(&mut mesh, 5, [0; 3], [30; 3]);
     mesh.receiver.barred.extend(["hall-0".into(), "hall-1".into(), "hall-2".into()]);
     let demand = Demand { calls: 400, slots: 24 };
-    describe_under(&mut mesh, 14, demand, [0; 3], [0; 3]);
+    report_service_under(&mut mesh, 14, demand, [0; 3], [0; 3]);
     let first = ordered(&mesh, false);
     assert!(first.iter().flatten().sum::<u32>() >= 30, "{first:?}");
     for _ in 0..10 {
-        describe_under(&mut mesh, 1, demand, [0; 3], [0; 3]);
+        report_service_under(&mut mesh, 1, demand, [0; 3], [0; 3]);
         assert_eq!(ordered(&mesh, false), first);
     }
     mesh.receiver.barred.clear();
-    describe_under(&mut mesh, 8, demand, [25; 3], [0; 3]);
+    report_service_under(&mut mesh, 8, demand, [25; 3], [0; 3]);
     assert!(ordered(&mesh, true).iter().flatten().sum::<u32>() >= 30, "tried again: {:?}", ordered(&mesh, true));
 }
 
-/// An order that is carried out late, after a newer one, is refused by its fence.
+/// An order that arrives after a newer one is rejected by its fence.
 #[test]
 fn late_orders_do_not_undo_newer_ones() {
     let mut mesh = start();
     mesh.receiver.mode = ReceiverMode::Late;
-    describe_for(&mut mesh, 6, FIRST, [0; 3]);
+    report_service_for(&mut mesh, 6, FIRST, [0; 3]);
     mesh.receiver.mode = ReceiverMode::Answers;
-    describe_for(&mut mesh, 8, [0; 3], [30; 3]);
+    report_service_for(&mut mesh, 8, [0; 3], [30; 3]);
     mesh.receiver.carry_out_late(mesh.now);
     assert_eq!((ordered(&mesh, false), ordered(&mesh, true)), (vec![Some(0); 3], vec![Some(30); 3]));
-    assert!(mesh.receiver.stale > 0, "the late ones came");
+    assert!(mesh.receiver.stale > 0, "no late orders arrived");
 }
 
-/// Nobody has led before the one that founded the log, so there is nobody to take duties over from.
+/// The first leader of a new log has no predecessor, so it needs no handover time.
 #[test]
 fn the_founder_of_the_log_orders_at_once() {
     let duties = DutyOptions { handover: HANDOVER, usage: None, scaling: Some(ScaleOptions::default()) };
     let layout = Layout { total: TOTAL, disks: DISKS, voters: DISKS, duties, ..Layout::default() };
     let mut mesh = Mesh::start_as(layout);
     mesh.run(Duration::from_millis(1200));
-    describe_for(&mut mesh, 1, FIRST, [0; 3]);
+    report_service_for(&mut mesh, 1, FIRST, [0; 3]);
     let founder = leader(&mesh);
     assert_eq!((ordered(&mesh, false), ordered(&mesh, true)), (vec![None; 3], vec![Some(20); 3]));
     mesh.kill(founder);
     let killed = mesh.now;
     mesh.run(Duration::from_millis(300));
     mesh.boot(founder);
-    describe_for(&mut mesh, 9, FIRST, [0; 3]);
+    report_service_for(&mut mesh, 9, FIRST, [0; 3]);
     let later = mesh.receiver.calls.iter().find(|made| made.at > killed).expect("orders").at;
     assert!(later >= killed + HANDOVER, "{later:?}");
     assert_eq!(mesh.receiver.violations, Vec::<String>::new());
 }
 
-/// A leader whose lease lapses for a moment keeps its term; its fences must go on from where they were.
+/// A leader that regains a lapsed lease in the same term must continue its fences.
 #[test]
-fn a_lease_that_lapses_for_a_moment_uses_no_fence_again() {
+fn no_fence_is_reused_after_a_lapsed_lease() {
     let mut mesh = start();
-    describe_for(&mut mesh, 5, FIRST, [0; 3]);
+    report_service_for(&mut mesh, 5, FIRST, [0; 3]);
     let holder = leader(&mesh);
     let (calls, term) = (scale_calls(&mesh), term_of(&mesh, holder));
-    // Its questions are not answered for longer than the lease, and shorter than others wait before they campaign.
+    // The pause is longer than the lease and shorter than the election timeout.
     for number in (0..DISKS).filter(|number| *number != holder) {
         mesh.nodes[number].paused = true;
     }
@@ -417,8 +419,8 @@
     }
     mesh.run(Duration::from_millis(500));
     assert_eq!((mesh.leader(), term_of(&mesh, holder)), (Some(holder), term));
-    describe_for(&mut mesh, 3, FIRST, [20; 3]);
-    assert!(scale_calls(&mesh) > calls, "it orders again");
+    report_service_for(&mut mesh, 3, FIRST, [20; 3]);
+    assert!(scale_calls(&mesh) > calls, "no orders after the lapse");
     assert_eq!(mesh.receiver.stale, 0);
 }
 
--- a/crates/rudder-core/tests/evacuation.rs
+++ b/crates/rudder-core/tests/evacuation.rs
@@ -1,4 +1,4 @@
-//! Evacuations are in force at all instances soon, survive what the log survives, and are not undone by what comes late.
+//! Evacuations reach all instances quickly, survive restarts and losses, and aren't undone by late messages.
 
 mod mesh;
 
@@ -14,8 +14,8 @@
     mesh.send_event(number, Event::Evacuate { ticket, hall: HALL.into(), begins });
 }
 
-/// Instances that run and do not hold the hall for `evacuated`.
-fn behind(mesh: &Mesh, evacuated: bool) -> Vec<usize> {
+/// Running instances at which the state of the hall isn't `evacuated`.
+fn differing(mesh: &Mesh, evacuated: bool) -> Vec<usize> {
     let differs = |number: &usize| {
         let state = mesh.nodes[*number].state.as_ref();
         state.is_some_and(|state| state.view.evacuations.is_evacuated(HALL) != evacuated)
@@ -36,33 +36,33 @@
             order(&mut mesh, $total - 1, 1, true);
             mesh.run(SECOND / 2);
             assert_eq!(mesh.evacuated.get(&1), Some(&true), "acknowledged");
-            assert_eq!(behind(&mesh, true), Vec::<usize>::new());
+            assert_eq!(differing(&mesh, true), Vec::<usize>::new());
             order(&mut mesh, $total / 2, 2, false);
             mesh.run(SECOND / 2);
             assert_eq!(mesh.evacuated.get(&2), Some(&true), "acknowledged");
-            assert_eq!(behind(&mesh, false), Vec::<usize>::new());
+            assert_eq!(differing(&mesh, false), Vec::<usize>::new());
         })*
     };
 }
 
 sizes! {
-    all_of_nine_instances_know_it_within_half_a_second: 9, 3;
-    all_of_three_hundred_instances_know_it_within_half_a_second: 300, 5;
+    an_evacuation_reaches_nine_instances_within_half_a_second: 9, 3;
+    an_evacuation_reaches_three_hundred_instances_within_half_a_second: 300, 5;
 }
 
 #[test]
-fn it_outlives_the_end_of_all_processes() {
+fn an_evacuation_survives_a_restart_of_all_processes() {
     let mut mesh = start(9, 3);
     order(&mut mesh, 5, 1, true);
     mesh.run(SECOND);
     mesh.restart_all();
     mesh.run(SECOND * 4);
-    assert_eq!(behind(&mesh, true), Vec::<usize>::new());
+    assert_eq!(differing(&mesh, true), Vec::<usize>::new());
 }
 
-/// The loss of the leader and of a disk right after the acknowledgement takes nothing with it.
+/// The loss of the leader and its disk right after the acknowledgement loses nothing.
 #[test]
-fn it_outlives_the_leader_and_an_emptied_disk() {
+fn an_evacuation_survives_the_loss_of_the_leader_and_its_disk() {
     let mut mesh = start(9, 3);
     order(&mut mesh, 5, 1, true);
     while mesh.evacuated.is_empty() {
@@ -73,7 +73,7 @@
     mesh.wipe(leader);
     mesh.boot(leader);
     mesh.run(SECOND * 4);
-    assert_eq!(behind(&mesh, true), Vec::<usize>::new());
+    assert_eq!(differing(&mesh, true), Vec::<usize>::new());
 }
 
 #[test]
@@ -84,12 +84,12 @@
     order(&mut mesh, 8, 1, true);
     mesh.run(SECOND * 2);
     assert_eq!(mesh.evacuated.get(&1), Some(&true));
-    assert_eq!(behind(&mesh, true), Vec::<usize>::new());
+    assert_eq!(differing(&mesh, true), Vec::<usize>::new());
 }
 
-/// Its sender had no answer and sent it again elsewhere while nobody led; both are in the log, and one end ends both.
+/// An order that was sent twice during a change of leader is in the log twice; one order to end it cancels both.
 #[test]
-fn two_copies_of_an_order_are_taken_back_at_once() {
+fn one_end_cancels_two_copies_of_an_order() {
     let mut mesh = start(9, 3);
     let leader = mesh.leader().expect("one leads");
     mesh.kill(leader);
@@ -99,7 +99,7 @@
     assert_eq!((mesh.evacuated.get(&1), mesh.evacuated.get(&2)), (Some(&true), Some(&true)));
     order(&mut mesh, 6, 3, false);
     mesh.run(SECOND * 4);
-    assert_eq!(behind(&mesh, false), Vec::<usize>::new());
+    assert_eq!(differing(&mesh, false), Vec::<usize>::new());
 }
 
 #[test]
@@ -112,5 +112,5 @@
     order(&mut mesh, 8, 1, true);
     mesh.run(SECOND * 4);
     assert_eq!(mesh.evacuated.get(&1), Some(&false), "unknown, to be sent again");
-    assert_eq!(behind(&mesh, false), Vec::<usize>::new());
+    assert_eq!(differing(&mesh, false), Vec::<usize>::new());
 }
--- a/crates/rudder-core/tests/limits.rs
+++ b/crates/rudder-core/tests/limits.rs
@@ -1,5 +1,4 @@
-//! Rate limits of endpoints over all instances: who learns of them, and that permits add up to no more, whatever happens to
-//! the instances.
+//! Rate limits of endpoints: they reach all instances, and the permits of all instances stay within them under faults.
 
 mod mesh;
 
@@ -15,14 +14,14 @@
 use mesh::Mesh;
 
 const SECOND: Duration = Duration::from_secs(1);
-/// Time between two requests of an instance for permits.
+/// Interval between two steps of the simulation.
 const STEP: Duration = Duration::from_millis(20);
 /// Time over which permits are counted.
 const WINDOW: Duration = Duration::from_secs(4);
 /// The limit, in requests a second.
 const LIMIT: f64 = 4.0;
-/// Time in which all instances learn of a limit.
-const SPREAD: Duration = Duration::from_secs(2);
+/// Time within which all instances learn of a limit.
+const PROPAGATION: Duration = Duration::from_secs(2);
 
 fn tag() -> EndpointTag {
     id::endpoint_tag("e-1")
@@ -38,25 +37,26 @@
     state.view.limits.rate(tag()).map(RequestRate::per_second)
 }
 
-/// Instances in three halls, with an endpoint that has named its limit to one of them.
+/// Starts instances in three halls, with an endpoint that has reported its limit to one of them.
 fn start(total: usize) -> Mesh {
     let mut mesh = Mesh::start(total, 3);
     mesh.run(SECOND * 3);
     mesh.heartbeat(0, 1, "e-1", Phase::Ready, 1);
     mesh.run(SECOND);
     mesh.send_event(total - 1, Event::Limit(report(Some(LIMIT))));
-    mesh.run(SPREAD);
+    mesh.run(PROPAGATION);
     mesh
 }
 
-/// Instances that all want to send to the endpoint all the time, and the permits that they were granted.
+/// Instances that continuously request permits for the endpoint, and the permits granted.
 struct Demand {
     mesh: Mesh,
-    /// Requests by ticket: who asked.
+    /// Open requests: the ticket, and the instance that asked.
     asked: Vec<(u64, usize)>,
     tickets: u64,
     /// When each instance may ask again.
     retry_at: Vec<Duration>,
+    /// Time of each permit.
     granted: Vec<Duration>,
 }
 
@@ -95,14 +95,14 @@
             match self.mesh.permitted.remove(&ticket) {
                 Some(PermitAnswer::Granted(count)) => self.granted.extend((0..count).map(|_| now)),
                 Some(PermitAnswer::Denied(retry)) => self.retry_at[number] = now + retry,
-                // One that was killed while it waited asks anew.
+                // A killed instance asks again after its restart.
                 None if self.mesh.nodes[number].state.is_none() => {}
                 None => self.asked.push((ticket, number)),
             }
         }
     }
 
-    /// The holder: the instance that answers.
+    /// The holder, which is the instance with the most answers.
     fn holder(&self) -> usize {
         let count = |number: &usize| self.mesh.sent_by(*number, "permit").messages;
         (0..self.retry_at.len()).max_by_key(count).expect("there are some")
@@ -116,18 +116,18 @@
         assert!(most as f64 <= allowed, "{most} were granted in {WINDOW:?}, {allowed} may be");
     }
 
-    /// Permits granted a second since `from`, as a part of the limit.
+    /// Rate of permits since `from`, as a fraction of the limit.
     fn used_since(&self, from: Duration) -> f64 {
         let span = self.mesh.now.saturating_sub(from).as_secs_f64();
         self.granted.iter().filter(|at| **at >= from).count() as f64 / (span * LIMIT)
     }
 }
 
-/// Instances lose something while all want permits; the sum holds throughout, and afterwards the limit is used again.
-fn run(total: usize, trouble: impl Fn(&mut Demand)) {
+/// Injects a fault while all instances request permits. The limit holds throughout, and is well used afterwards.
+fn run(total: usize, fault: impl Fn(&mut Demand)) {
     let mut demand = Demand::start(total);
     demand.run(SECOND * 6);
-    trouble(&mut demand);
+    fault(&mut demand);
     demand.run(SECOND * 4);
     let from = demand.mesh.now;
     demand.run(SECOND * 6);
@@ -136,17 +136,17 @@
     assert!(used > 0.8, "{used} of the limit is used");
 }
 
-macro_rules! troubles {
-    ($($(#[$meta:meta])* $name:ident: $total:expr, $trouble:expr;)*) => {
+macro_rules! faults {
+    ($($(#[$meta:meta])* $name:ident: $total:expr, $fault:expr;)*) => {
         $($(#[$meta])* #[test] fn $name() {
-            run($total, $trouble);
+            run($total, $fault);
         })*
     };
 }
 
-troubles! {
-    nine_keep_a_limit_together: 9, |_| {};
-    sixty_keep_a_limit_together: 60, |_| {};
+faults! {
+    nine_instances_stay_within_the_limit: 9, |_| {};
+    sixty_instances_stay_within_the_limit: 60, |_| {};
     the_holder_is_killed: 9, |demand| {
         let holder = demand.holder();
         demand.mesh.kill(holder);
@@ -169,19 +169,19 @@
             demand.mesh.boot(holder);
         }
     };
-    the_holder_stands_still_for_a_moment: 9, |demand| {
+    the_holder_is_paused_briefly: 9, |demand| {
         let holder = demand.holder();
         demand.mesh.nodes[holder].paused = true;
         demand.run(SECOND / 2);
         demand.mesh.wake(holder);
     };
-    the_holder_stands_still_for_long: 9, |demand| {
+    the_holder_is_paused_for_long: 9, |demand| {
         let holder = demand.holder();
         demand.mesh.nodes[holder].paused = true;
         demand.run(SECOND * 4);
         demand.mesh.wake(holder);
     };
-    /// It goes on granting to itself alone, for as long as the others list it.
+    /// It continues to grant to itself while the others list it.
     the_holder_is_cut_off: 9, |demand| {
         let holder = demand.holder();
         demand.mesh.nodes[holder].cut = true;
@@ -207,49 +207,49 @@
     };
 }
 
-/// All instances know the limit that one was told.
+/// Checks the limit known at all instances.
 fn assert_known(mesh: &Mesh, expected: Option<f64>) {
     for number in 0..mesh.nodes.len() {
         assert_eq!(rate_at(mesh, number), expected, "at instance {number}");
     }
 }
 
-macro_rules! spreads {
-    ($($(#[$meta:meta])* $name:ident: $total:expr, $turn:expr => $expected:expr;)*) => {
+macro_rules! propagates {
+    ($($(#[$meta:meta])* $name:ident: $total:expr, $action:expr => $expected:expr;)*) => {
         $($(#[$meta])* #[test] fn $name() {
             let mut mesh = start($total);
             assert_known(&mesh, Some(LIMIT));
-            let turn: fn(&mut Mesh) = $turn;
-            turn(&mut mesh);
-            mesh.run(SPREAD);
+            let action: fn(&mut Mesh) = $action;
+            action(&mut mesh);
+            mesh.run(PROPAGATION);
             assert_known(&mesh, $expected);
         })*
     };
 }
 
-spreads! {
-    what_one_of_nine_was_told_all_learn: 9, |_| {} => Some(LIMIT);
-    what_one_of_a_hundred_and_twenty_was_told_all_learn: 120, |_| {} => Some(LIMIT);
+propagates! {
+    a_limit_reaches_nine_instances: 9, |_| {} => Some(LIMIT);
+    a_limit_reaches_a_hundred_and_twenty_instances: 120, |_| {} => Some(LIMIT);
     the_latest_limit_replaces_the_one_before: 60, |mesh| mesh.send_event(3, Event::Limit(report(Some(0.5)))) => Some(0.5);
-    that_a_limit_ended_all_learn: 60, |mesh| mesh.send_event(3, Event::Limit(report(None))) => None;
-    /// It was said before the limit was named, and came late.
-    an_earlier_word_changes_nothing: 9, |mesh| {
+    the_end_of_a_limit_reaches_all: 60, |mesh| mesh.send_event(3, Event::Limit(report(None))) => None;
+    /// The report is older than the limit and arrives late.
+    an_older_report_changes_nothing: 9, |mesh| {
         mesh.send_event(3, Event::Limit(LimitReport { age_ms: 60_000, ..report(None) }));
     } => Some(LIMIT);
-    an_instance_that_starts_later_learns_it: 60, |mesh| {
+    an_instance_that_starts_later_learns_the_limit: 60, |mesh| {
         mesh.kill(30);
         mesh.run(SECOND * 3);
         mesh.boot(30);
         mesh.run(SECOND * 5);
     } => Some(LIMIT);
-    a_new_leader_knows_it: 9, |mesh| {
+    a_new_leader_knows_the_limit: 9, |mesh| {
         let leader = mesh.leader().expect("one leads");
         mesh.kill(leader);
         mesh.run(SECOND * 4);
         mesh.boot(leader);
         mesh.run(SECOND * 5);
     } => Some(LIMIT);
-    the_one_that_was_told_may_be_lost: 9, |mesh| {
+    a_limit_survives_the_loss_of_the_instance_that_learned_it: 9, |mesh| {
         mesh.kill(8);
         mesh.run(SECOND * 20);
         mesh.boot(8);
@@ -257,9 +257,9 @@
     } => Some(LIMIT);
 }
 
-/// Once nothing changes, what is told of limits is told seldom.
+/// Without changes, limits are exchanged only at long intervals.
 #[test]
-fn limits_that_do_not_change_cost_little() {
+fn unchanged_limits_cause_little_traffic() {
     let mut mesh = start(9);
     mesh.run(SECOND * 10);
     let bytes = |mesh: &Mesh| mesh.sent_by(8, "watch").bytes;
--- a/crates/rudder-core/tests/lives.rs
+++ b/crates/rudder-core/tests/lives.rs
@@ -1,4 +1,4 @@
-//! Lives of one endpoint's name: the later one replaces the earlier at once and everywhere, and the earlier never comes back.
+//! Lives of an endpoint: a later one replaces the earlier at once at all instances, and the earlier never comes back.
 
 mod mesh;
 
@@ -13,7 +13,7 @@
 const LATE: u64 = 1_000_900;
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Nine instances that know the earlier life as ready.
+/// Starts nine instances at which the earlier life is ready.
 fn start() -> Mesh {
     let mut mesh = Mesh::start(9, 3);
     mesh.run(SECOND * 4);
@@ -24,7 +24,7 @@
     mesh
 }
 
-/// Where the two lives stand at each live instance; the same everywhere.
+/// The phases of both lives, which must be the same at all live instances.
 fn phases(mesh: &Mesh) -> (Option<Phase>, Option<Phase>) {
     let at = |number: usize, born: u64| mesh.phase_at(number, &id::life_id("e-1", Some(born)));
     let live: Vec<usize> = (0..9).filter(|number| mesh.nodes[*number].state.is_some()).collect();
@@ -56,7 +56,7 @@
         mesh.run(SECOND / 5);
         assert_eq!(phases(mesh), REPLACED);
     };
-    late_words_of_the_earlier_change_nothing: |mesh| {
+    late_heartbeats_of_the_earlier_life_change_nothing: |mesh| {
         mesh.life_beat(7, LATE, Phase::Ready, 1);
         mesh.run(SECOND / 2);
         for (sequence, phase) in (41..).zip([Phase::Ready, Phase::Leaving, Phase::Gone]) {
@@ -65,8 +65,8 @@
         mesh.run(SECOND / 2);
         assert_eq!(phases(mesh), REPLACED);
     };
-    /// An instance that was cut off meanwhile has heard of the earlier life only.
-    an_instance_behind_a_cut_learns_which_is_the_later: |mesh| {
+    /// Meanwhile the instance has received heartbeats of the earlier life only.
+    an_instance_that_was_cut_off_learns_which_life_is_later: |mesh| {
         mesh.nodes[5].cut = true;
         mesh.life_beat(5, EARLY, Phase::Ready, 50);
         mesh.life_beat(7, LATE, Phase::Ready, 1);
@@ -75,7 +75,7 @@
         mesh.run(SECOND);
         assert_eq!(phases(mesh), REPLACED);
     };
-    a_new_leader_knows_which_is_the_later: |mesh| {
+    a_new_leader_knows_which_life_is_later: |mesh| {
         mesh.life_beat(7, LATE, Phase::Ready, 1);
         mesh.run(SECOND / 2);
         let leader = mesh.leader().expect("one leads");
@@ -85,7 +85,7 @@
         mesh.run(SECOND / 2);
         assert_eq!(phases(mesh), REPLACED);
     };
-    /// The word came while nobody led.
+    /// The heartbeat arrives while there is no leader.
     a_life_that_begins_during_a_change_of_leader_is_known: |mesh| {
         let leader = mesh.leader().expect("one leads");
         mesh.kill(leader);
@@ -93,13 +93,13 @@
         mesh.run(SECOND * 4);
         assert_eq!(phases(mesh), REPLACED);
     };
-    a_life_begins_while_the_leave_of_the_earlier_is_acknowledged: |mesh| {
+    a_life_begins_while_the_earlier_one_drains: |mesh| {
         mesh.life_beat(4, EARLY, Phase::Leaving, 50);
         mesh.life_beat(7, LATE, Phase::Ready, 1);
         mesh.run(SECOND / 2);
         assert_eq!(phases(mesh), REPLACED);
     };
-    two_lives_in_a_row: |mesh| {
+    two_later_lives_in_sequence: |mesh| {
         mesh.life_beat(7, LATE - 400, Phase::Ready, 1);
         mesh.run(SECOND / 10);
         mesh.life_beat(2, LATE, Phase::Ready, 1);
@@ -107,8 +107,8 @@
         assert_eq!(phases(mesh), REPLACED);
         assert_eq!(mesh.phase_at(0, &id::life_id("e-1", Some(LATE - 400))), Some(Phase::Replaced));
     };
-    /// The clock stepped back between the starts: the words of the life with the earlier time go on, the other's have ended.
-    a_life_with_an_earlier_time_is_taken_once_the_other_is_silent: |mesh| {
+    /// The clock stepped back between the starts, so the life that still sends heartbeats has the earlier start time.
+    a_life_with_an_earlier_start_is_accepted_once_the_other_is_silent: |mesh| {
         mesh.life_beat(7, LATE, Phase::Ready, 1);
         mesh.run(SECOND / 2);
         let again = EARLY - 60_000;
@@ -119,8 +119,8 @@
         assert_eq!(mesh.phase_at(0, &id::life_id("e-1", Some(again))), Some(Phase::Ready));
         assert_eq!(phases(mesh), (Some(Phase::Replaced), Some(Phase::Replaced)));
     };
-    /// Words held up on their way come in a burst.
-    a_burst_of_late_words_of_an_unknown_earlier_life_changes_nothing: |mesh| {
+    /// Delayed heartbeats arrive in a burst.
+    a_burst_of_late_heartbeats_of_an_unknown_earlier_life_changes_nothing: |mesh| {
         mesh.life_beat(7, LATE, Phase::Ready, 1);
         mesh.run(SECOND * 6);
         for sequence in 1..8 {
@@ -131,19 +131,19 @@
     };
 }
 
-/// A word: of which life, where it is heard, how long after the one before.
+/// A heartbeat: its life, the instance that receives it, its phase, and the pause after it.
 #[derive(Clone, Debug)]
-struct Word {
+struct Heartbeat {
     born: u64,
     number: usize,
     phase: Phase,
     pause: Duration,
 }
 
-impl Arbitrary for Word {
-    fn arbitrary(g: &mut Gen) -> Word {
+impl Arbitrary for Heartbeat {
+    fn arbitrary(g: &mut Gen) -> Heartbeat {
         let phases = [Phase::Ready, Phase::Ready, Phase::Ready, Phase::Leaving, Phase::Gone];
-        Word {
+        Heartbeat {
             born: EARLY + u64::from(u8::arbitrary(g) % 5),
             number: usize::from(u8::arbitrary(g)) % 9,
             phase: *g.choose(&phases).expect("there are some"),
@@ -152,32 +152,32 @@
     }
 }
 
-/// Whatever comes in whatever order within the time in which a life counts as heard: the latest start that was ever heard stands
-/// alone, and the same everywhere.
+/// Heartbeats in any order, none old enough for a life to become silent: the latest start replaces all others, at all
+/// instances.
 #[test]
-fn the_latest_start_stands_alone_whatever_the_order() {
+fn only_the_latest_start_is_live_whatever_the_order() {
     #[allow(clippy::needless_pass_by_value, reason = "quickcheck hands its values over")]
-    fn holds(words: Vec<Word>) -> bool {
+    fn holds(heartbeats: Vec<Heartbeat>) -> bool {
         let mut mesh = Mesh::start(9, 3);
         mesh.run(SECOND * 3);
         let mut sequence = 0;
         let mut span = Duration::ZERO;
-        for word in words.iter().take(24) {
+        for heartbeat in heartbeats.iter().take(24) {
             sequence += 1;
-            span += word.pause;
-            mesh.life_beat(word.number, word.born, word.phase, sequence);
-            mesh.run(word.pause);
+            span += heartbeat.pause;
+            mesh.life_beat(heartbeat.number, heartbeat.born, heartbeat.phase, sequence);
+            mesh.run(heartbeat.pause);
         }
         assert!(span < SECOND * 7);
         mesh.run(SECOND);
-        let Some(latest) = words.iter().take(24).map(|word| word.born).max() else { return true };
+        let Some(latest) = heartbeats.iter().take(24).map(|heartbeat| heartbeat.born).max() else { return true };
         (0..9).all(|number| {
-            let standing = |born: u64| mesh.phase_at(number, &id::life_id("e-1", Some(born)));
-            let earlier = (EARLY..latest).filter_map(standing).all(|phase| phase == Phase::Replaced);
-            earlier && standing(latest).is_some_and(|phase| phase < Phase::Replaced)
+            let phase_of = |born: u64| mesh.phase_at(number, &id::life_id("e-1", Some(born)));
+            let earlier = (EARLY..latest).filter_map(phase_of).all(|phase| phase == Phase::Replaced);
+            earlier && phase_of(latest).is_some_and(|phase| phase < Phase::Replaced)
         })
     }
     let tests = std::env::var("RUDDER_TESTS").ok().and_then(|tests| tests.parse().ok()).unwrap_or(60);
     let generator = Gen::from_size_and_seed(24, 1);
-    QuickCheck::new().rng(generator).tests(tests).quickcheck(holds as fn(Vec<Word>) -> bool);
+    QuickCheck::new().rng(generator).tests(tests).quickcheck(holds as fn(Vec<Heartbeat>) -> bool);
 }
--- a/crates/rudder-core/tests/loads.rs
+++ b/crates/rudder-core/tests/loads.rs
@@ -1,4 +1,4 @@
-//! Totals of work under way: whatever is told, in whatever order, they are the sum of the latest words.
+//! Totals of loads: they are the sum of the latest reports of all instances, in whatever order those arrive.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -16,19 +16,19 @@
 }
 
 quickcheck! {
-    fn totals_are_the_sum_of_the_latest_words(words: Vec<(u8, Vec<(u8, u8)>)>) -> bool {
+    fn totals_are_the_sum_of_the_latest_reports(reports: Vec<(u8, Vec<(u8, u8)>)>) -> bool {
         let mut loads = Loads::default();
         let mut latest: BTreeMap<u8, BTreeMap<u8, u32>> = BTreeMap::new();
-        for (instance, word) in words {
+        for (instance, report) in reports {
             let instance = instance % 5;
-            let word: BTreeMap<u8, u32> = word.into_iter().map(|(e, calls)| (e % 7, u32::from(calls) + 1)).collect();
-            loads.record(Duration::ZERO, &name(instance), word.iter().map(|(e, calls)| load(*e, *calls)).collect());
-            latest.insert(instance, word);
+            let report: BTreeMap<u8, u32> = report.into_iter().map(|(e, calls)| (e % 7, u32::from(calls) + 1)).collect();
+            loads.record(Duration::ZERO, &name(instance), report.iter().map(|(e, calls)| load(*e, *calls)).collect());
+            latest.insert(instance, report);
         }
         (0..6_u8).all(|asker| {
             let mut sums: BTreeMap<u8, u32> = BTreeMap::new();
-            for (_, word) in latest.iter().filter(|(instance, _)| **instance != asker) {
-                for (endpoint, calls) in word {
+            for (_, report) in latest.iter().filter(|(instance, _)| **instance != asker) {
+                for (endpoint, calls) in report {
                     *sums.entry(*endpoint).or_default() += calls;
                 }
             }
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn an_old_word_does_not_count() {
+fn an_old_report_does_not_count() {
     let mut loads = Loads::default();
     loads.record(Duration::ZERO, &name(1), vec![load(1, 3)]);
     loads.record(Duration::from_secs(1), &name(2), vec![load(1, 4)]);
--- a/crates/rudder-core/tests/recall.rs
+++ b/crates/rudder-core/tests/recall.rs
@@ -1,4 +1,4 @@
-//! A request stopped for a higher tier: what its caller is told if it never goes on.
+//! Requests recalled in favour of a higher tier: how they resume, and how they are refused if they don't.
 
 mod single;
 
@@ -9,7 +9,7 @@
 use single::{SingleInstance, engine};
 
 /// A leader with one engine of one slot and two classes.
-fn narrow() -> SingleInstance {
+fn start() -> SingleInstance {
     let mut alone = SingleInstance::new();
     let patience = Duration::from_secs(5);
     let keys = vec![id::hex(&id::digest(b"key"))];
@@ -43,23 +43,23 @@
 }
 
 #[test]
-fn a_request_that_was_stopped_half_way_is_never_called_not_run() {
-    let mut alone = narrow();
+fn a_recalled_request_is_never_refused_as_not_run() {
+    let mut alone = start();
     let low = call(&mut alone, 1, "low");
     assert!(matches!(last(&alone, low), Some(Verdict::Dispatch(_))), "{:?}", alone.verdicts);
     let top = call(&mut alone, 2, "top");
     assert!(matches!(last(&alone, low), Some(Verdict::Recall)), "{:?}", alone.verdicts);
     alone.give(Event::Ended { request: low, ended: Ended::Recalled { produced: 3 } });
     assert!(matches!(last(&alone, top), Some(Verdict::Dispatch(_))), "{:?}", alone.verdicts);
-    // The top request holds the only slot past the low one's patience.
+    // The top request occupies the only slot until the low one's patience is used up.
     alone.run(9000);
     let Some(Verdict::Refuse(refusal)) = last(&alone, low) else { panic!("{:?}", alone.verdicts) };
     assert_eq!(refusal.ran, Ran::Yes, "{refusal:?}");
 }
 
 #[test]
-fn a_request_that_was_stopped_goes_on_after_what_its_caller_has() {
-    let mut alone = narrow();
+fn a_recalled_request_resumes_after_the_tokens_already_sent() {
+    let mut alone = start();
     let low = call(&mut alone, 1, "low");
     let top = call(&mut alone, 2, "top");
     alone.give(Event::Ended { request: low, ended: Ended::Recalled { produced: 3 } });
--- a/crates/rudder-core/tests/registry.rs
+++ b/crates/rudder-core/tests/registry.rs
@@ -1,4 +1,4 @@
-//! Endpoints that register themselves: who knows what, when, and what a late word may change.
+//! The registry of endpoints: how heartbeats reach all instances, and what late ones may change.
 
 mod mesh;
 
@@ -7,7 +7,7 @@
 use mesh::{Mesh, question};
 use rudder_core::{Phase, Registration, Watch};
 
-/// Nine instances that know each other and one ready endpoint.
+/// Starts nine instances with one ready endpoint.
 fn start() -> Mesh {
     let mut mesh = Mesh::start(9, 3);
     mesh.run(Duration::from_secs(4));
@@ -31,14 +31,14 @@
 fn a_leave_is_known_everywhere_right_after_its_acknowledgement() {
     let mut mesh = start();
     mesh.heartbeat(7, 2, "e-1", Phase::Leaving, 2);
-    assert_eq!(mesh.registered.get(&2), None, "acknowledged before the leader knows");
+    assert_eq!(mesh.registered.get(&2), None, "acknowledged before the leader has it");
     mesh.run(Duration::from_millis(30));
     assert_eq!(mesh.registered.get(&2), Some(&true));
     assert_eq!(phases(&mesh), vec![Some(Phase::Leaving); 9]);
 }
 
 #[test]
-fn a_leave_that_the_leader_cannot_hear_is_not_acknowledged() {
+fn a_leave_that_does_not_reach_the_leader_is_not_acknowledged() {
     let mut mesh = start();
     mesh.nodes[7].cut = true;
     mesh.heartbeat(7, 2, "e-1", Phase::Leaving, 2);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_heartbeat_at_an_instance_that_lost_touch_is_not_acknowledged() {
+fn a_heartbeat_at_an_instance_that_is_cut_off_is_not_acknowledged() {
     let mut mesh = start();
     mesh.nodes[7].cut = true;
     mesh.run(Duration::from_secs(6));
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_late_heartbeat_neither_undoes_a_leave_nor_revives_the_gone() {
+fn a_late_heartbeat_neither_undoes_a_leave_nor_revives_an_ended_endpoint() {
     let mut mesh = start();
     mesh.heartbeat(7, 2, "e-1", Phase::Leaving, 5);
     mesh.run(Duration::from_millis(100));
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn an_endpoint_unheard_is_silent_first_and_forgotten_later() {
+fn an_endpoint_without_heartbeats_is_silent_until_the_next_one() {
     let mut mesh = start();
     mesh.run(Duration::from_secs(7));
     assert_eq!(phases(&mesh), vec![Some(Phase::Silent); 9]);
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn the_next_leader_keeps_what_the_last_one_knew() {
+fn a_new_leader_keeps_the_registry() {
     let mut mesh = start();
     mesh.heartbeat(7, 2, "e-1", Phase::Leaving, 2);
     mesh.run(Duration::from_millis(100));
@@ -94,9 +94,9 @@
     }
 }
 
-/// A new start of an endpoint has another name at the same address; the one before has ended.
+/// An endpoint under another name at the same address shows that the previous one has ended.
 #[test]
-fn a_new_endpoint_at_an_address_ends_the_one_before() {
+fn a_new_endpoint_at_an_address_ends_its_predecessor() {
     let mut mesh = start();
     mesh.heartbeat_from(2, 2, ("e-2", "e-1"), Phase::Ready, 1);
     mesh.run(Duration::from_millis(600));
@@ -104,23 +104,23 @@
     assert!((0..9).all(|number| mesh.phase_at(number, "e-2") == Some(Phase::Ready)));
 }
 
-/// A heartbeat that a cut delayed comes after its sender has crashed and started anew.
+/// A delayed heartbeat arrives after its sender has crashed and restarted under another name.
 #[test]
-fn a_late_heartbeat_of_a_dead_predecessor_changes_nothing() {
+fn a_late_heartbeat_of_an_ended_predecessor_changes_nothing() {
     let mut mesh = start();
     mesh.heartbeat_from(2, 2, ("e-2", "e-1"), Phase::Ready, 1);
     mesh.run(Duration::from_millis(600));
     mesh.heartbeat(5, 3, "e-1", Phase::Ready, 40);
     mesh.heartbeat_from(6, 4, ("e-0", "e-1"), Phase::Ready, 17);
     mesh.run(Duration::from_millis(600));
-    assert_eq!(phases(&mesh), vec![Some(Phase::Gone); 9], "one that was known");
-    assert!((0..9).all(|number| mesh.phase_at(number, "e-0").is_none()), "one that was not");
+    assert_eq!(phases(&mesh), vec![Some(Phase::Gone); 9], "a known one was revived");
+    assert!((0..9).all(|number| mesh.phase_at(number, "e-0").is_none()), "an unknown one was added");
     assert!((0..9).all(|number| mesh.phase_at(number, "e-2") == Some(Phase::Ready)));
 }
 
-/// An endpoint whose first heartbeats were lost is taken in once the one before it at its address has fallen silent.
+/// An endpoint whose first heartbeats were lost is accepted once its predecessor at the address has become silent.
 #[test]
-fn a_successor_that_is_heard_late_is_taken_in_when_the_one_before_is_silent() {
+fn a_successor_at_an_address_is_accepted_once_its_predecessor_is_silent() {
     let mut mesh = start();
     mesh.heartbeat_from(2, 2, ("e-2", "e-1"), Phase::Ready, 5);
     mesh.run(Duration::from_millis(5_400));
@@ -129,11 +129,10 @@
     assert!((0..9).all(|number| mesh.phase_at(number, "e-2") == Some(Phase::Ready)));
 }
 
-/// Seen in a soak: all instances with disks had been killed and come back, a leave was acknowledged, and 2 s later an instance with a
-/// young proof still sent work to the endpoint. The new leader had answered a question between its election and its next
-/// tick, and taken its registry from its view only then: what it had heard and confirmed in between was gone.
+/// A new leader must take its registry from its view at its election. If it did so only at its next tick, leaves that it
+/// acknowledged in between would be lost.
 #[test]
-fn a_leave_that_a_new_leader_hears_before_its_next_tick_is_not_forgotten() {
+fn a_leave_that_reaches_a_new_leader_before_its_first_tick_is_kept() {
     let mut mesh = start();
     for number in 0..3 {
         mesh.kill(number);
@@ -146,17 +145,17 @@
     let gone = Registration::end_of("e-1", None, "hall-0".into());
     let answer = mesh.ask(leader, Watch { heard: vec![gone], ..question("caller", 1, 9) });
     assert!(answer.registry.is_some_and(|news| news.entries.iter().any(|told| told.value.phase == Phase::Gone)));
-    // An earlier heartbeat comes after it.
+    // An earlier heartbeat arrives afterwards.
     mesh.run(Duration::from_millis(100));
     mesh.heartbeat(5, 3, "e-1", Phase::Ready, 14);
     mesh.run(Duration::from_secs(2));
     assert_eq!(phases(&mesh), vec![Some(Phase::Gone); 9]);
 }
 
-/// What an instance lacks is not sent to it twice while it is on its way, as the copies of a start would hold up each other;
-/// and as it may lack the leave of an endpoint, the answer without it proves nothing.
+/// Updates in flight aren't sent again, since duplicates would delay a start. An answer without them may lack the leave of an
+/// endpoint, so it gives no proof of freshness.
 #[test]
-fn what_is_on_its_way_is_not_sent_again_and_proves_nothing() {
+fn updates_in_flight_are_not_repeated_and_give_no_proof() {
     let mut mesh = start();
     let leader = mesh.leader().expect("one leads");
     let ask = |mesh: &mut Mesh, round: u64| {
--- a/crates/rudder-core/tests/subset.rs
+++ b/crates/rudder-core/tests/subset.rs
@@ -1,4 +1,4 @@
-//! Subsets: a hall with many endpoints uses some of them, the same at all its instances, and is told all that becomes of them.
+//! Subsets: the instances of a hall with many endpoints use the same subset and receive all updates of it.
 
 mod mesh;
 
@@ -14,7 +14,7 @@
 const SECOND: Duration = Duration::from_secs(1);
 const HALLS: usize = 2;
 const DISKS: usize = 4;
-/// Endpoints of each hall, of which 256 are used.
+/// Endpoints per hall, of which 256 are used.
 const ENDPOINTS: usize = 700;
 
 fn endpoint(number: usize, phase: Phase, sequence: u64) -> Registration {
@@ -23,30 +23,30 @@
     Registration { address, phase, sequence, ..mesh::registration(&format!("e-{number}"), &hall) }
 }
 
-fn beat(mesh: &mut Mesh, number: usize, phase: Phase, sequence: u64) {
+fn send_heartbeat(mesh: &mut Mesh, number: usize, phase: Phase, sequence: u64) {
     let running: Vec<usize> = (0..mesh.nodes.len()).filter(|number| mesh.nodes[*number].state.is_some()).collect();
     let at = running[number % running.len()];
     let ticket = sequence * 10_000 + number as u64;
     mesh.send_event(at, Event::Register { ticket, registration: endpoint(number, phase, sequence) });
 }
 
-/// Forty instances that have heard of all endpoints.
+/// Starts 40 instances and registers all endpoints.
 fn start() -> Mesh {
     let mut mesh = Mesh::start_in(HALLS, 40, DISKS);
     mesh.run(SECOND * 6);
-    speak(&mut mesh, 1);
+    send_heartbeats(&mut mesh, 1);
     mesh.run(SECOND * 2);
     mesh
 }
 
-/// All endpoints send a heartbeat, each to an instance that runs.
-fn speak(mesh: &mut Mesh, sequence: u64) {
+/// Sends a heartbeat of every endpoint to a running instance.
+fn send_heartbeats(mesh: &mut Mesh, sequence: u64) {
     for number in 0..ENDPOINTS * HALLS {
-        beat(mesh, number, Phase::Ready, sequence);
+        send_heartbeat(mesh, number, Phase::Ready, sequence);
     }
 }
 
-/// The endpoints that an instance sends to.
+/// The endpoints to which an instance sends requests.
 fn used_at(mesh: &Mesh, number: usize) -> BTreeSet<EndpointId> {
     let state = mesh.nodes[number].state.as_ref().expect("it runs");
     let ready = state.view.registry.used_in(&state.me.hall).filter(|held| held.phase == Phase::Ready);
@@ -58,7 +58,7 @@
     number % HALLS
 }
 
-/// The different subsets that the instances of each hall use.
+/// The distinct subsets used by the instances of each hall.
 fn subsets(mesh: &Mesh) -> BTreeMap<usize, BTreeSet<BTreeSet<EndpointId>>> {
     let mut subsets: BTreeMap<usize, BTreeSet<_>> = BTreeMap::new();
     for number in (0..mesh.nodes.len()).filter(|number| mesh.nodes[*number].state.is_some()) {
@@ -86,9 +86,9 @@
     }
 }
 
-/// They hold no others, but for those that may lead next, which hold all.
+/// Instances hold only their subset, except the possible next leaders, which hold all endpoints.
 #[test]
-fn others_are_not_held() {
+fn endpoints_outside_the_subset_are_not_held() {
     let mesh = start();
     for (number, node) in mesh.nodes.iter().enumerate() {
         let held = node.state.as_ref().expect("it runs").view.registry.iter().count();
@@ -98,13 +98,13 @@
 }
 
 #[test]
-fn what_leaves_is_replaced_from_standby_and_used_by_nobody() {
+fn draining_endpoints_are_replaced_from_standby() {
     let mut mesh = start();
     let before = agreed(&mesh);
     let leaving: Vec<EndpointId> = before[&0].iter().take(50).cloned().collect();
     for endpoint in &leaving {
         let number: usize = endpoint.trim_start_matches("e-").parse().expect("a number");
-        beat(&mut mesh, number, Phase::Leaving, 2);
+        send_heartbeat(&mut mesh, number, Phase::Leaving, 2);
     }
     mesh.run(SECOND);
     assert!(mesh.registered.values().all(|taken| *taken), "all leaves are acknowledged");
@@ -113,29 +113,29 @@
     assert!(leaving.iter().all(|endpoint| !after[&0].contains(endpoint)));
 }
 
-/// It goes on with the same subsets, and what leaves right after is known everywhere.
+/// A new leader doesn't change the subsets, and a leave right after the election reaches all instances.
 #[test]
-fn a_new_leader_goes_on_with_the_same_subsets() {
+fn a_new_leader_keeps_the_subsets() {
     let mut mesh = start();
     let before = agreed(&mesh);
     let leader = mesh.leader().expect("one leads");
     mesh.kill(leader);
     mesh.run(SECOND * 2);
-    speak(&mut mesh, 2);
+    send_heartbeats(&mut mesh, 2);
     mesh.run(SECOND);
     assert!(agreed(&mesh) == before, "other subsets than before");
     let first = before[&1].first().expect("some are used").clone();
     let number: usize = first.trim_start_matches("e-").parse().expect("a number");
     let at = (leader + 1) % DISKS;
     mesh.send_event(at, Event::Register { ticket: 1, registration: endpoint(number, Phase::Leaving, 9) });
-    // Some still wait for an answer of the lost leader, and turn to their relay after that.
+    // Some instances still wait for the lost leader and ask their relay after a timeout.
     mesh.run(SECOND * 3 / 2);
     assert!((0..mesh.nodes.len()).filter(|at| *at != leader).all(|at| !used_at(&mesh, at).contains(&first)));
     assert_eq!(agreed(&mesh)[&1].len(), 256);
 }
 
 #[test]
-fn an_instance_that_starts_later_is_told_the_same_subset() {
+fn an_instance_that_starts_later_receives_the_same_subset() {
     let mut mesh = start();
     let before = agreed(&mesh);
     for number in [DISKS + 3, DISKS + 4] {
@@ -143,17 +143,17 @@
         mesh.run(SECOND);
         mesh.boot(number);
     }
-    speak(&mut mesh, 2);
+    send_heartbeats(&mut mesh, 2);
     mesh.run(SECOND * 2);
     assert!(agreed(&mesh) == before, "other subsets than before");
 }
 
-/// Most of a hall's endpoints are lost: its instances use those of the other hall as well, also those that were never told.
+/// If most endpoints of a hall are lost, its instances also use those of the other hall, which they didn't receive before.
 #[test]
 fn a_hall_that_is_short_of_endpoints_uses_those_of_others() {
     let mut mesh = start();
     for number in (0..ENDPOINTS * HALLS).filter(|number| number % HALLS == 0 && *number >= 60) {
-        beat(&mut mesh, number, Phase::Gone, 2);
+        send_heartbeat(&mut mesh, number, Phase::Gone, 2);
     }
     mesh.run(SECOND);
     let after = agreed(&mesh);
@@ -161,7 +161,7 @@
     assert!(after[&0].is_superset(&after[&1]));
 }
 
-/// Half of the slots in use are taken, so as many again are used.
+/// If half of the slots in use are taken, twice as many endpoints are used.
 #[test]
 fn a_crowded_hall_uses_more_of_its_endpoints() {
     let mut mesh = start();
@@ -178,15 +178,15 @@
     assert!(after[&0].is_superset(&used));
 }
 
-/// Twice the endpoints, in standby, cost the instances of a hall nothing.
+/// Additional endpoints in standby cause hardly any traffic to the instances of a hall.
 #[test]
-fn what_an_instance_is_told_does_not_grow_with_the_endpoints() {
+fn updates_do_not_grow_with_the_endpoints_in_standby() {
     let bytes = |endpoints: usize| {
         let mut mesh = Mesh::start_in(HALLS, 40, DISKS);
         mesh.run(SECOND * 6);
         mesh.sent.clear();
         for number in 0..endpoints {
-            beat(&mut mesh, number, Phase::Ready, 1);
+            send_heartbeat(&mut mesh, number, Phase::Ready, 1);
         }
         mesh.run(SECOND * 2);
         let relays: BTreeSet<usize> =
@@ -197,9 +197,9 @@
     assert!(many < few + few / 5, "{few} bytes for 1,400 endpoints, {many} for 2,800");
 }
 
-/// Where endpoints speak every five seconds, two heartbeats lost and a late one change nothing.
+/// With heartbeats every five seconds, two lost ones and a late one don't make an endpoint silent.
 #[test]
-fn an_endpoint_that_speaks_seldom_is_not_taken_for_silent() {
+fn an_endpoint_with_rare_heartbeats_does_not_count_as_silent() {
     let mut registry = Registry::new(SECOND * 12);
     registry.record_heartbeat_as_leader(SECOND, &endpoint(1, Phase::Ready, 1));
     let phase_at = |registry: &mut Registry, at: Duration| {
