--- a/crates/rudder-core/src/duties/intake.rs
+++ b/crates/rudder-core/src/duties/intake.rs
@@ -26,7 +26,7 @@
 #[derive(Debug)]
 struct Pending {
     from: InstanceId,
-    news: UsageUpdate,
+    update: UsageUpdate,
 }
 
 /// Up to which window an instance has reported its requests.
@@ -59,8 +59,8 @@
     }
 
     /// Records a message with counts.
-    pub(crate) fn record(&mut self, from: &InstanceId, news: UsageUpdate) {
-        self.pending.insert(news.start, Pending { from: from.clone(), news });
+    pub(crate) fn record(&mut self, from: &InstanceId, update: UsageUpdate) {
+        self.pending.insert(update.start, Pending { from: from.clone(), update });
     }
 
     /// Advances time, at the leader.
@@ -104,12 +104,12 @@
     fn answer(&mut self, now: Duration, usage: &Usage, out: &mut Vec<Effect>) {
         let progress = &mut self.progress;
         self.pending.retain(|start, pending| {
-            let news = &pending.news;
-            if news.sequence > usage.taken(*start) {
+            let update = &pending.update;
+            if update.sequence > usage.taken(*start) {
                 return true;
             }
-            progress.insert(pending.from.clone(), Progress { start: *start, before: news.before, at: now });
-            let taken = UsageAck { start: *start, sequence: news.sequence, before: news.before };
+            progress.insert(pending.from.clone(), Progress { start: *start, before: update.before, at: now });
+            let taken = UsageAck { start: *start, sequence: update.sequence, before: update.before };
             out.push(Effect::Send { to: pending.from.clone(), message: PeerMessage::UsageAck(taken) });
             false
         });
@@ -153,7 +153,7 @@
             .iter()
             .filter(|(name, progress)| directory.get(&**name).is_none() && progress.before <= window);
         let pending =
-            self.pending.values().filter(|pending| pending.news.counts.iter().any(|count| count.window <= window));
+            self.pending.values().filter(|pending| pending.update.counts.iter().any(|count| count.window <= window));
         behind.count() + gone.count() + pending.count()
     }
 }
@@ -170,12 +170,12 @@
     let mut tally = Tally::default();
     let mut sums: BTreeMap<(Window, OrgId), u64> = BTreeMap::new();
     for (start, message) in pending {
-        let source = Source { start: *start, sequence: message.news.sequence };
+        let source = Source { start: *start, sequence: message.update.sequence };
         if !usage.is_next(source) {
             continue;
         }
         tally.sources.push(source);
-        for count in &message.news.counts {
+        for count in &message.update.counts {
             *sums.entry((count.window, count.org.clone())).or_default() += count.requests;
         }
     }
--- a/crates/rudder-core/src/duties/mod.rs
+++ b/crates/rudder-core/src/duties/mod.rs
@@ -59,7 +59,7 @@
         service: Arc<str>,
         /// The hall.
         hall: HallId,
-        /// True for engines on cheaper, reclaimable capacity.
+        /// True for spot engines, false for on-demand ones.
         cheap: bool,
         /// The number of engines wanted.
         count: u32,
@@ -248,8 +248,8 @@
     }
 
     /// Handles a message with request counts. Only a leader answers it.
-    pub(crate) fn on_usage(&mut self, from: &InstanceId, news: UsageUpdate) {
-        self.intake.record(from, news);
+    pub(crate) fn on_usage(&mut self, from: &InstanceId, update: UsageUpdate) {
+        self.intake.record(from, update);
     }
 
     /// Records the outcome of a call.
--- a/crates/rudder-core/src/duties/scaling.rs
+++ b/crates/rudder-core/src/duties/scaling.rs
@@ -39,7 +39,7 @@
     wanted: Vec<DesiredEngines>,
 }
 
-/// The subject of an order: engines of one kind of a service in a hall.
+/// The subject of an order: the spot or the on-demand engines of a service in a hall.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Subject {
     service: Arc<str>,
@@ -56,7 +56,7 @@
     in_flight: Option<InFlight<u32>>,
     backoff: Backoff,
     /// No engines were available when they were last ordered; none are expected until an order is accepted.
-    barred: bool,
+    unavailable: bool,
 }
 
 /// All orders.
@@ -80,7 +80,7 @@
         for mut service in states {
             for held in &mut service.halls {
                 let subject = Subject { service: service.service.clone(), hall: held.hall.clone(), cheap: true };
-                held.spot_unavailable = self.orders.get(&subject).is_some_and(|state| state.barred);
+                held.spot_unavailable = self.orders.get(&subject).is_some_and(|state| state.unavailable);
             }
             let scaler = self.scalers.entry(service.service.clone()).or_default();
             let wanted = scaler.plan(now, &service.bounds, service.demand, &service.halls, options);
@@ -94,9 +94,9 @@
         for Plan { service, wanted } in plans {
             let ServiceState { service, bounds, demand, halls } = service;
             for (want, held) in wanted.iter().zip(&halls) {
-                // Full-price engines first: a reduction makes room for cheap ones under the hall's bound.
-                let cheap = bounds.spot_price.map(|_| want.spot);
-                let kinds = [(false, want.on_demand, held.on_demand), (true, cheap, held.spot)];
+                // On-demand engines first: a reduction makes room for spot ones under the hall's bound.
+                let spot = bounds.spot_price.map(|_| want.spot);
+                let kinds = [(false, want.on_demand, held.on_demand), (true, spot, held.spot)];
                 for (cheap, count, present) in kinds {
                     let Some(count) = count else { continue };
                     let subject = Subject { service: service.clone(), hall: want.hall.clone(), cheap };
@@ -163,12 +163,12 @@
             CallOutcome::Taken => {
                 state.accepted = Some((count, now));
                 // An order for no engines is always accepted, so it doesn't show that any are available.
-                state.barred &= count == 0;
+                state.unavailable &= count == 0;
                 state.backoff.clear();
             }
             CallOutcome::NoneLeft => {
                 state.accepted = None;
-                state.barred = true;
+                state.unavailable = true;
                 state.backoff.record_failure(now, ticket);
             }
             _ => {
--- a/crates/rudder-core/src/registry/mod.rs
+++ b/crates/rudder-core/src/registry/mod.rs
@@ -61,7 +61,7 @@
     pub hall: HallId,
     /// Requests that it processes concurrently.
     pub slots: u32,
-    /// Runs on cheaper capacity that may be reclaimed at short notice.
+    /// A spot endpoint: it is cheaper and may be reclaimed at short notice.
     #[serde(default)]
     pub cheap: bool,
     /// Has just started or lost its caches, and takes only a few requests for some time.
--- a/crates/rudder-core/tests/duties.rs
+++ b/crates/rudder-core/tests/duties.rs
@@ -249,8 +249,8 @@
 
 const FIRST: [u32; 3] = [20; 3];
 
-/// Reports a service to the holder, with `full` and `cheap` engines in three halls.
-fn report_service(mesh: &mut Mesh, demand: Demand, full: [u32; 3], cheap: [u32; 3]) {
+/// Reports a service to the holder, with `on_demand` and `spot` engines in three halls.
+fn report_service(mesh: &mut Mesh, demand: Demand, on_demand: [u32; 3], spot: [u32; 3]) {
     let hall = |at: usize| format!("hall-{at}").as_str().into();
     let bounds = Bounds {
         min: 1,
@@ -259,8 +259,12 @@
         spot_price: Some(0.15),
         prices: (0..3).map(|at| (hall(at), 1.0)).collect(),
     };
-    let halls =
-        (0..3).map(|at| HallEngines { hall: hall(at), on_demand: full[at], spot: cheap[at], spot_unavailable: false });
+    let halls = (0..3).map(|at| HallEngines {
+        hall: hall(at),
+        on_demand: on_demand[at],
+        spot: spot[at],
+        spot_unavailable: false,
+    });
     let state = ServiceState { service: "svc".into(), bounds, demand, halls: halls.collect() };
     if let Some(number) = mesh.leader() {
         mesh.send_event(number, Event::Services(vec![state]));
@@ -268,21 +272,21 @@
 }
 
 /// Reports a service without demand twice a second.
-fn report_service_for(mesh: &mut Mesh, seconds: u64, full: [u32; 3], cheap: [u32; 3]) {
-    report_service_under(mesh, seconds, Demand::default(), full, cheap);
+fn report_service_for(mesh: &mut Mesh, seconds: u64, on_demand: [u32; 3], spot: [u32; 3]) {
+    report_service_under(mesh, seconds, Demand::default(), on_demand, spot);
 }
 
 /// Reports a service under `demand` twice a second.
-fn report_service_under(mesh: &mut Mesh, seconds: u64, demand: Demand, full: [u32; 3], cheap: [u32; 3]) {
+fn report_service_under(mesh: &mut Mesh, seconds: u64, demand: Demand, on_demand: [u32; 3], spot: [u32; 3]) {
     for _ in 0..seconds * 2 {
-        report_service(mesh, demand, full, cheap);
+        report_service(mesh, demand, on_demand, spot);
         mesh.run(Duration::from_millis(500));
     }
 }
 
-fn ordered(mesh: &Mesh, cheap: bool) -> Vec<Option<u32>> {
+fn ordered(mesh: &Mesh, spot: bool) -> Vec<Option<u32>> {
     let hall = |at: usize| format!("hall-{at}").as_str().into();
-    (0..3).map(|at| mesh.receiver.ordered.get(&(hall(at), cheap)).copied()).collect()
+    (0..3).map(|at| mesh.receiver.ordered.get(&(hall(at), spot)).copied()).collect()
 }
 
 fn scale_calls(mesh: &Mesh) -> usize {
@@ -302,7 +306,7 @@
     assert_eq!(mesh.receiver.violations, Vec::<String>::new());
 }
 
-/// Both kinds share a hall's bound, so an order for cheap engines that overtakes the reduction of the others would fail.
+/// Both kinds share a hall's bound, so an order for spot engines that overtakes the reduction of the others would fail.
 #[test]
 fn orders_of_a_hall_do_not_overtake_each_other() {
     let mut mesh = start();
@@ -319,7 +323,7 @@
     report_service_for(&mut mesh, 6, FIRST, [0; 3]);
     assert_eq!(scale_calls(&mesh), 6);
     report_service_for(&mut mesh, 3, FIRST, [0; 3]);
-    assert_eq!(scale_calls(&mesh), 9, "cheap ones, 7 s after the first order");
+    assert_eq!(scale_calls(&mesh), 9, "spot ones, 7 s after the first order");
 }
 
 #[test]
@@ -337,7 +341,7 @@
 }
 
 #[test]
-fn a_hall_without_cheap_engines_is_retried_and_compensated_by_others() {
+fn a_hall_without_spot_engines_is_retried_and_compensated_by_others() {
     let mut mesh = start();
     report_service_for(&mut mesh, 5, [0; 3], [30; 3]);
     mesh.receiver.barred.insert("hall-1".into());
@@ -348,10 +352,10 @@
     assert!(ordered(&mesh, true)[1] >= Some(30), "ordered again");
 }
 
-/// Guards against ordering and releasing full-price engines in turn: an accepted order for no cheap engines doesn't show that
+/// Guards against ordering and releasing on-demand engines in turn: an accepted order for no spot engines doesn't show that
 /// any are available.
 #[test]
-fn full_price_engines_stay_ordered_while_no_cheap_ones_are_available() {
+fn on_demand_engines_stay_ordered_while_no_spot_ones_are_available() {
     let mut mesh = start();
     report_service_for(&mut mesh, 5, [0; 3], [30; 3]);
     mesh.receiver.barred.extend(["hall-0".into(), "hall-1".into(), "hall-2".into()]);
