--- a/crates/rudder-core/src/clock.rs
+++ b/crates/rudder-core/src/clock.rs
@@ -1,33 +1,32 @@
-//! The time of day that all instances agree on, whatever their own clocks do.
+//! The time of day that all instances agree on, independent of any single clock.
 //!
-//! Clocks of single machines are near true time, but may step by seconds. Every instance therefore tells the reading of
-//! its clock with its questions, a relay the median of its own and its askers', and the leader goes by the median of
-//! what it is told: it is right while most clocks are. The answer carries that time; an asker takes it with an error of
-//! half the time that question and answer took, and keeps the best it got. In between, everybody counts on by the steady
-//! clock, which does not step.
+//! Clocks of single machines may step by seconds. Every instance sends the reading of its clock with its watch
+//! requests, a relay the median of its own and its watchers' readings, and the leader uses the median of what it
+//! receives, which is right while most clocks are. The reply carries that time. The receiver adopts it with an error of
+//! half the round-trip time and keeps the best estimate. In between, time advances by the monotonic clock.
 //!
-//! A time of day is kept as its *origin*: the time of day at which this instance's own steady time was zero.
+//! A time of day is stored as its *origin*: the time of day at which this instance's monotonic time was zero.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use rudder_model::InstanceId;
 
-/// What an asker told of its clock counts for this long.
-const MEMORY: Duration = Duration::from_millis(2500);
-/// A new leader goes by the time that it learned as a follower for this long, until enough others have told theirs.
-const GATHER: Duration = Duration::from_secs(1);
-/// Steady clocks drift apart by a part in this many at most: 200 in a million.
-const DRIFT: u32 = 5000;
-/// Estimates further apart than their errors and this are not of the same time: the leader has corrected its own.
-const AGREEMENT: Duration = Duration::from_millis(5);
-/// A change of the own clock by this much is a jump: a clock that is kept right is never this far off.
-const JUMP: Duration = Duration::from_millis(500);
-/// A jump that lasts for this long was meant.
-const JUMP_LASTS: Duration = Duration::from_secs(600);
-/// Steps of the own clock below this are not told: readings of two clocks are never closer than this.
+/// Lifetime of a reading received from another instance.
+const READING_TTL: Duration = Duration::from_millis(2500);
+/// Time for which a new leader keeps the time that it learned as a follower, while it collects readings.
+const GATHER_TIME: Duration = Duration::from_secs(1);
+/// Monotonic clocks drift apart by at most one part in this many (200 ppm).
+const DRIFT_DIVISOR: u32 = 5000;
+/// Estimates that differ by more than their errors plus this contradict each other: the leader's time was corrected.
+const TOLERANCE: Duration = Duration::from_millis(5);
+/// A change of the local clock by at least this much is a jump; smaller ones are regular adjustments.
+const JUMP_THRESHOLD: Duration = Duration::from_millis(500);
+/// A jump that persists for this long is accepted.
+const JUMP_CONFIRM_TIME: Duration = Duration::from_secs(600);
+/// Smallest step of the local clock that is reported; smaller ones are within the error of reading two clocks.
 pub const STEP: Duration = Duration::from_millis(2);
 
-/// What was learned of the agreed time, and how well.
+/// An estimate of the agreed time and its error.
 #[derive(Clone, Copy, Debug)]
 struct Estimate {
     origin: Duration,
@@ -36,9 +35,9 @@
 }
 
 impl Estimate {
-    /// Its error by now: it grows by the drift of steady clocks.
+    /// Returns the error at `now`, which grows by the drift of monotonic clocks.
     fn error_by(&self, now: Duration) -> Duration {
-        self.error + now.saturating_sub(self.at) / DRIFT
+        self.error + now.saturating_sub(self.at) / DRIFT_DIVISOR
     }
 }
 
@@ -48,91 +47,93 @@
     at: Duration,
 }
 
-/// The agreed time, and what it is made from.
+/// The agreed time and the readings that it is computed from.
 #[derive(Debug, Default)]
 pub struct Clock {
-    own: Duration,
-    /// Where the own clock has jumped to, and when.
-    jumped: Option<Reading>,
-    told: BTreeMap<InstanceId, Reading>,
+    /// Origin by this instance's own clock.
+    local: Duration,
+    /// Target and time of a jump of the local clock that is not accepted yet.
+    jump: Option<Reading>,
+    /// Latest reading of each other instance.
+    readings: BTreeMap<InstanceId, Reading>,
     agreed: Option<Estimate>,
     led_since: Option<Duration>,
 }
 
 impl Clock {
-    /// The clock of an instance whose own clock has this origin.
+    /// Creates a clock for an instance whose local clock has this origin.
     pub fn new(origin: Duration) -> Clock {
-        Clock { own: origin, ..Clock::default() }
+        Clock { local: origin, ..Clock::default() }
     }
 
-    /// Records what the origin is by the instance's own clock now. Small changes are the clock being set right and are
-    /// followed; a jump is only when it has lasted.
-    pub fn set_own(&mut self, now: Duration, origin: Duration) {
-        if origin.abs_diff(self.own) < JUMP {
-            (self.own, self.jumped) = (origin, None);
+    /// Records the current origin by the local clock. Small adjustments are followed at once, a jump only after it has
+    /// persisted.
+    pub fn set_local(&mut self, now: Duration, origin: Duration) {
+        if origin.abs_diff(self.local) < JUMP_THRESHOLD {
+            (self.local, self.jump) = (origin, None);
             return;
         }
-        let since = self.jumped.filter(|jumped| origin.abs_diff(jumped.origin) < JUMP).map_or(now, |jumped| jumped.at);
-        self.jumped = Some(Reading { origin, at: since });
+        let since = self.jump.filter(|jump| origin.abs_diff(jump.origin) < JUMP_THRESHOLD).map_or(now, |jump| jump.at);
+        self.jump = Some(Reading { origin, at: since });
     }
 
-    /// Records the reading that an asker told with its question.
-    pub fn note(&mut self, now: Duration, from: &InstanceId, time: Duration) {
-        self.told.insert(from.clone(), Reading { origin: time.saturating_sub(now), at: now });
+    /// Records the reading in a watch request.
+    pub fn record_reading(&mut self, now: Duration, from: &InstanceId, time: Duration) {
+        self.readings.insert(from.clone(), Reading { origin: time.saturating_sub(now), at: now });
     }
 
-    /// What this instance tells of the time: the median of its own clock and of those told to it.
-    pub fn to_reading(&self, now: Duration) -> Duration {
+    /// Returns the reading to send: the median of the local clock and of the readings received.
+    pub fn reading(&self, now: Duration) -> Duration {
         self.median() + now
     }
 
-    /// The agreed time; `None` before anything was learned of it.
+    /// Returns the agreed time; `None` if it is not known yet.
     pub fn agreed(&self, now: Duration) -> Option<Duration> {
         self.agreed.map(|agreed| agreed.origin + now)
     }
 
-    /// The agreed time at a moment that may have passed, or this instance's own where none is agreed on yet.
+    /// Returns the agreed time at `moment`, or the local time if none is agreed on yet.
     pub fn at(&self, moment: Duration) -> Duration {
-        self.agreed.map_or(self.own, |agreed| agreed.origin) + moment
+        self.agreed.map_or(self.local, |agreed| agreed.origin) + moment
     }
 
-    /// Advances time; `leads` where this instance's median is the agreed time.
+    /// Advances time. On the leader the median becomes the agreed time.
     pub fn tick(&mut self, now: Duration, leads: bool) {
-        if let Some(jumped) = self.jumped.take_if(|jumped| now >= jumped.at + JUMP_LASTS) {
-            self.own = jumped.origin;
+        if let Some(jump) = self.jump.take_if(|jump| now >= jump.at + JUMP_CONFIRM_TIME) {
+            self.local = jump.origin;
         }
-        self.told.retain(|_, reading| now < reading.at + MEMORY);
+        self.readings.retain(|_, reading| now < reading.at + READING_TTL);
         if !leads {
             self.led_since = None;
             return;
         }
         let since = *self.led_since.get_or_insert(now);
-        if self.agreed.is_none() || now >= since + GATHER {
+        if self.agreed.is_none() || now >= since + GATHER_TIME {
             self.agreed = Some(Estimate { origin: self.median(), error: Duration::ZERO, at: now });
         }
     }
 
-    /// Records the agreed time of an answer to the question sent at `sent`. An estimate that is better stays.
+    /// Records the agreed time in the reply to a request sent at `sent`, unless the held estimate is better.
     pub fn learn(&mut self, now: Duration, sent: Duration, time: Duration) {
         if self.led_since.is_some() {
             return;
         }
         let error = now.saturating_sub(sent) / 2;
-        let told = Estimate { origin: (time + error).saturating_sub(now), error, at: now };
-        if self.agreed.is_none_or(|agreed| error <= agreed.error_by(now) || contradicts(&told, &agreed, now)) {
-            self.agreed = Some(told);
+        let estimate = Estimate { origin: (time + error).saturating_sub(now), error, at: now };
+        if self.agreed.is_none_or(|agreed| error <= agreed.error_by(now) || contradicts(&estimate, &agreed, now)) {
+            self.agreed = Some(estimate);
         }
     }
 
     fn median(&self) -> Duration {
-        let mut origins: Vec<Duration> = self.told.values().map(|reading| reading.origin).collect();
-        origins.push(self.own);
+        let mut origins: Vec<Duration> = self.readings.values().map(|reading| reading.origin).collect();
+        origins.push(self.local);
         let middle = origins.len() / 2;
         *origins.select_nth_unstable(middle).1
     }
 }
 
-/// True where two estimates cannot both be right.
-fn contradicts(told: &Estimate, held: &Estimate, now: Duration) -> bool {
-    told.origin.abs_diff(held.origin) > told.error + held.error_by(now) + AGREEMENT
+/// Returns whether two estimates cannot both be right.
+fn contradicts(new: &Estimate, held: &Estimate, now: Duration) -> bool {
+    new.origin.abs_diff(held.origin) > new.error + held.error_by(now) + TOLERANCE
 }
--- a/crates/rudder-core/src/effect.rs
+++ b/crates/rudder-core/src/effect.rs
@@ -1,4 +1,4 @@
-//! Effects: all that an instance does, as data.
+//! Effects: the outputs of the reducer, carried out by its caller.
 
 use std::time::Duration;
 
@@ -9,126 +9,125 @@
 
 use crate::{DutyCall, PeerMessage, duties::Fence, permits::PermitAnswer};
 
-/// Something to do.
+/// An output of the reducer.
 #[derive(Clone, Debug)]
 pub enum Effect {
-    /// Send a message to another instance; losing it is allowed.
+    /// Send a message to another instance; it may be lost.
     Send {
-        /// Who gets it.
+        /// The recipient.
         to: InstanceId,
         /// The message.
         message: PeerMessage,
     },
-    /// Append records to the data folder and report when they are durable.
+    /// Append records to the data folder; answered by [`crate::Event::Saved`] once they are durable.
     Save {
-        /// Counts the saves.
+        /// Sequence number of the save.
         number: u64,
-        /// What to append.
+        /// The records to append.
         records: Vec<Record>,
     },
-    /// Replace the data folder's content and report when it is durable.
+    /// Replace the content of the data folder; answered by [`crate::Event::Saved`] once it is durable.
     SaveSnapshot {
-        /// Counts the saves.
+        /// Sequence number of the save.
         number: u64,
         /// The snapshot.
         snapshot: Snapshot,
         /// The records after it.
         records: Vec<Record>,
     },
-    /// Tell the thread that holds the caller what to do.
+    /// Instruct the thread that serves the caller.
     Verdict {
         /// The request.
         request: RequestId,
-        /// What to do.
+        /// The instruction.
         verdict: Verdict,
     },
     /// Answer an operator.
     Admin {
         /// Identifies the waiting connection.
         ticket: u64,
-        /// The answer; `None` when the outcome is unknown and the change must be sent again.
+        /// The answer; `None` if the outcome is unknown and the change must be submitted again.
         answer: Option<Changed>,
     },
-    /// Answer the operator who sent a document.
+    /// Answer the operator who submitted a document.
     Documented {
         /// Identifies the waiting connection.
         ticket: u64,
-        /// The version held now; `None` when the outcome is unknown.
+        /// The version in force; `None` if the outcome is unknown.
         version: Option<u64>,
     },
     /// Answer the operator who ordered an evacuation or its end.
     Evacuated {
         /// Identifies the waiting connection.
         ticket: u64,
-        /// The log holds the order; otherwise the outcome is unknown and it must be sent again.
+        /// The order is committed; otherwise the outcome is unknown and it must be submitted again.
         decided: bool,
     },
     /// Answer an endpoint's heartbeat.
     Registered {
         /// Identifies the waiting connection.
         ticket: u64,
-        /// Taken in, and where it says that the endpoint leaves, known to the leader.
+        /// The heartbeat was recorded and, if it announces a departure, confirmed by the leader.
         accepted: bool,
     },
-    /// Answer a request that is to be sent to an endpoint with a rate limit.
+    /// Answer a permit request for an endpoint with a rate limit.
     Permitted {
         /// Identifies the request.
         ticket: u64,
         /// The answer.
         answer: PermitAnswer,
     },
-    /// Look at an endpoint's load and cache events.
+    /// Poll an endpoint's load and cache events.
     Poll {
         /// The endpoint.
         endpoint: EndpointId,
-        /// Where it is.
+        /// Its address.
         address: String,
-        /// Number of the first cache event not yet seen.
+        /// Number of the first cache event not seen yet.
         after: u64,
     },
     /// Order an endpoint to load something.
     Order {
         /// The endpoint.
         endpoint: EndpointId,
-        /// Where it is.
+        /// Its address.
         address: String,
         /// What to load.
         load: String,
-        /// Term and count: an endpoint that checks takes no lower one.
+        /// Term and counter; an endpoint that checks fences rejects a lower one.
         fence: (u64, u64),
-        /// Not to be sent after this time.
+        /// Time after which the order must not be sent.
         until: Duration,
     },
-    /// Make a call that only the holder of a duty makes: not without looking at the lease once more right before it is
-    /// sent.
+    /// Make a call on behalf of a duty. The lease must be checked again right before sending.
     Call {
         /// Identifies the call.
         ticket: u64,
         /// Its fence.
         fence: Fence,
-        /// How long ago that happened which it tells.
+        /// Age of the reported information.
         age: Duration,
         /// The call.
         call: DutyCall,
     },
-    /// Write an event.
+    /// Write a log event.
     Log(What),
     /// End the process: a planned stop is complete.
     Exit,
 }
 
-/// What the thread that holds a caller does next.
+/// Instruction for the thread that serves a caller.
 #[derive(Clone, Debug)]
 pub enum Verdict {
     /// Send the request to an endpoint.
     Dispatch(Dispatch),
-    /// Refuse it.
+    /// Refuse the request.
     Refuse(Refusal),
-    /// Answer with what was stored.
+    /// Answer with a stored answer.
     Stored(Stored),
-    /// Stop it on the engine and report how far it came; another verdict follows.
+    /// Stop the request at the engine and report its progress; another verdict follows.
     Recall,
-    /// Pass the held end of the answer on.
+    /// Release the held end of the answer to the caller.
     Release,
 }
 
@@ -137,17 +136,17 @@
 pub struct Dispatch {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// Where it is.
+    /// Its address.
     pub address: String,
-    /// The class's tier, for the engine's own priorities.
+    /// Tier of the class, for the engine's own priorities.
     pub tier: u8,
-    /// Output events the caller already has; the engine goes on after them.
+    /// Number of output events that the caller has already received; the engine resumes after them.
     pub resume: u32,
-    /// It may not be repeated: use a connection of its own.
+    /// The request must not be repeated, so it needs a new connection.
     pub once: bool,
 }
 
-/// An answer kept for a key.
+/// An answer stored for an idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Stored {
     /// HTTP status.
--- a/crates/rudder-core/src/event.rs
+++ b/crates/rudder-core/src/event.rs
@@ -1,4 +1,4 @@
-//! Events: all that can happen to an instance.
+//! Events: the inputs of the reducer.
 
 use std::time::Duration;
 
@@ -10,28 +10,28 @@
     permits::PermitRequest, registry::Registration, usage::StartedRequest,
 };
 
-/// Anything that happens to an instance.
+/// An input of the reducer.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time passed; comes at least ten times a second.
+    /// Time has passed; sent at least ten times per second.
     Tick,
     /// A message from another instance.
     Peer {
-        /// Who sent it.
+        /// The sender.
         from: InstanceId,
         /// The message.
         message: PeerMessage,
     },
-    /// All saves up to this number are durable.
+    /// All saves up to and including this number are durable.
     Saved {
         /// The number.
         number: u64,
     },
-    /// The disk refuses writes; saves go on being tried.
+    /// The disk is full; saves keep being retried.
     DiskFull,
-    /// A caller's request.
+    /// A caller's request arrived.
     Arrive(Box<Arrival>),
-    /// The first token or byte of an answer came.
+    /// The first token or byte of an answer arrived.
     FirstOutput {
         /// The request.
         request: RequestId,
@@ -42,101 +42,101 @@
     Ended {
         /// The request.
         request: RequestId,
-        /// How.
+        /// How it ended.
         ended: Ended,
     },
-    /// An operator's change.
+    /// An operator submitted a change.
     Admin {
         /// Identifies the waiting connection.
         ticket: u64,
         /// The change.
         change: Change,
     },
-    /// An endpoint answered a look at its load and cache events, or did not.
+    /// A poll of an endpoint's load and cache events completed.
     Polled {
         /// The endpoint.
         endpoint: EndpointId,
-        /// What it said; `None` for no answer.
+        /// The endpoint's report; `None` if it did not answer.
         report: Option<Report>,
     },
     /// An endpoint answered an order.
     Ordered {
         /// The endpoint.
         endpoint: EndpointId,
-        /// It took the order.
+        /// The endpoint accepted the order.
         accepted: bool,
     },
-    /// A whole configuration, checked, from an operator.
+    /// An operator submitted a validated configuration document.
     PutDocument {
         /// Identifies the waiting connection.
         ticket: u64,
         /// The document.
         document: Document,
     },
-    /// An operator's order that the endpoints of a hall get nothing more, or that they may again.
+    /// An operator ordered the evacuation of a hall, whose endpoints then receive no requests, or its end.
     Evacuate {
         /// Identifies the waiting connection.
         ticket: u64,
         /// The hall.
         hall: HallId,
-        /// It is to be evacuated; otherwise, an evacuation ends.
+        /// The evacuation begins; otherwise it ends.
         begins: bool,
     },
-    /// An endpoint's heartbeat or its word that it ends.
+    /// An endpoint sent a heartbeat or announced its departure.
     Register {
         /// Identifies the waiting connection.
         ticket: u64,
-        /// What it said.
+        /// The heartbeat's content.
         registration: Registration,
     },
-    /// The work that this instance has under way at endpoints.
+    /// In-flight requests of this instance at endpoints.
     Loads(Vec<Load>),
-    /// What an endpoint said of its rate limit in an answer to this instance.
+    /// An endpoint reported its rate limit in an answer to this instance.
     Limit(LimitReport),
-    /// A request is to be sent to an endpoint that has a rate limit; [`crate::Effect::Permitted`] answers.
+    /// A request needs a permit for an endpoint with a rate limit; answered by [`crate::Effect::Permitted`].
     AskPermit {
         /// Identifies the request.
         ticket: u64,
-        /// What is asked.
+        /// The permit request.
         request: PermitRequest,
     },
-    /// How services stand whose engines are ordered; comes a few times a second at the leader.
+    /// State of the services that are scaled; sent a few times per second at the leader.
     Services(Vec<ServiceState>),
-    /// Requests that began to run at endpoints.
+    /// Requests started to run at endpoints.
     RequestsStarted(Vec<StartedRequest>),
-    /// What became of contents under which endpoints ended.
+    /// Findings about contents that were being processed when endpoints failed.
     Findings(Findings),
-    /// This instance's clock has stepped: the time of day at which its own time was zero, by that clock.
+    /// The local clock has stepped. Holds the time of day at which the instance's own time was zero, by that clock.
     ClockStepped(Duration),
     /// A call of [`crate::Effect::Call`] ended.
     CallEnded {
-        /// Which one.
+        /// Identifies the call.
         ticket: u64,
-        /// How.
+        /// Its outcome.
         outcome: CallOutcome,
     },
-    /// Somebody waits for a proof of freshness: ask the leader now.
+    /// A freshness proof is needed immediately.
     ProveFreshness,
-    /// The settings name other instances to start from.
+    /// The settings name different instances to contact first.
     Seeds(Vec<InstanceId>),
-    /// A planned stop was asked for.
+    /// A planned stop was requested.
     Stop,
 }
 
-/// What an endpoint says of itself; it lags.
+/// An endpoint's report of its own state, which lags behind.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Report {
-    /// Requests it works on or holds.
+    /// Number of requests running or queued.
     pub load: u32,
-    /// What it has loaded.
+    /// What is loaded.
     pub loaded: String,
     /// Number of the first event below.
     pub first_event: u64,
-    /// Prefixes evicted, in order of events.
+    /// Evicted prefixes, in order of events.
     pub evicted: Vec<u64>,
 }
 
-/// Key of work that may not be repeated.
+/// Key of a request that must not be repeated.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Key {
     /// The caller's `Idempotency-Key`.
@@ -145,57 +145,57 @@
     pub digest: Digest,
 }
 
-/// A caller's request, read and parsed.
+/// A parsed request of a caller.
 #[derive(Clone, Debug)]
 pub struct Arrival {
     /// Its id.
     pub request: RequestId,
-    /// Digest of the bearer key, in hexadecimal.
+    /// Hexadecimal digest of the bearer key.
     pub bearer: String,
     /// The class named by the caller.
     pub class: Option<ClassId>,
     /// The model, or the service with its prefix.
     pub model: ModelId,
-    /// Key of work that may not be repeated.
+    /// Idempotency key, if the request must not be repeated.
     pub key: Option<Key>,
-    /// Hash of the prompt's beginning; 0 for none.
+    /// Hash of the prompt's prefix; 0 for none.
     pub prefix: u64,
-    /// The answer is streamed and can go on where it stopped.
+    /// The answer is streamed and can be resumed where it stopped.
     pub resumable: bool,
-    /// The caller asked not to wait longer than this.
+    /// Maximum waiting time requested by the caller.
     pub patience: Option<Duration>,
 }
 
 /// How a dispatched request ended at its endpoint.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Ended {
-    /// The whole answer is here; for keyed requests it waits for [`crate::Verdict::Release`].
+    /// The answer is complete; with an idempotency key it is held until [`crate::Verdict::Release`].
     Done {
-        /// Tokens generated, 0 for plain services.
+        /// Number of tokens generated; 0 for plain services.
         tokens: u32,
-        /// From dispatch to the first token or byte.
+        /// Time from dispatch to the first token or byte.
         first: Duration,
-        /// From dispatch to the end.
+        /// Time from dispatch to the end.
         total: Duration,
-        /// The answer, for keyed requests.
+        /// The answer, for requests with an idempotency key.
         stored: Option<Stored>,
     },
-    /// It failed.
+    /// The request failed.
     Failed {
-        /// Something was written to the endpoint.
+        /// At least part of the request was written to the endpoint.
         sent: bool,
-        /// The endpoint itself refused it.
+        /// The endpoint refused the request.
         refused: bool,
-        /// It wants nothing for this long.
+        /// Time for which the endpoint asked for no further requests.
         retry_after: Option<Duration>,
-        /// Output events the caller already has.
+        /// Number of output events that the caller has already received.
         produced: u32,
     },
-    /// Stopped after [`crate::Verdict::Recall`].
+    /// The request was stopped after [`crate::Verdict::Recall`].
     Recalled {
-        /// Output events the caller already has.
+        /// Number of output events that the caller has already received.
         produced: u32,
     },
-    /// The caller left.
+    /// The caller disconnected.
     Left,
 }
--- a/crates/rudder-core/src/lib.rs
+++ b/crates/rudder-core/src/lib.rs
@@ -1,29 +1,28 @@
-//! The one reducer of an instance: [`State::reduce`] takes an event and the time, changes the state
-//! and pushes effects. It reads no clock, no random source and no socket, so the same code runs in
-//! instances, in randomised runs and in the fault matrix.
+//! The reducer of an instance: [`State::reduce`] takes an event and the time, changes the state and emits effects. It
+//! reads no clock, random source or socket, so the same code runs in instances, in randomised simulations and in the
+//! fault matrix.
 //!
-//! Its parts, each with a narrow face of its own:
+//! Modules:
 //!
-//! - [`control`]: the replicated log, and the leader's answers to those who ask it;
-//! - [`view`]: the configuration and directory in force here, and whether they are fresh;
-//! - [`tree`]: the relays of each hall; [`asking`]: whom an instance asks next, the leader or a relay;
-//! - [`watchers`]: those who ask an instance, and the work they tell;
-//! - [`document_history`]: older versions of the document, so that askers get what differs;
-//! - [`delta_map`]: entries that spread from the leader as deltas;
-//! - [`propose`]: commands on their way to the leader;
-//! - [`calls`]: the requests whose callers are connected here;
-//! - [`homes`]: the pools that this instance decides for;
+//! - [`control`]: the replicated log and the leader's replies to watch requests;
+//! - [`view`]: the configuration and directory in force, and the proof of their freshness;
+//! - [`tree`]: the relays of each hall; [`upstream`]: the target and schedule of watch requests;
+//! - [`watchers`]: the instances that send watch requests to this one, and the loads that they report;
+//! - [`document_history`]: older versions of the document, from which patches are made;
+//! - [`delta_map`]: entries that are replicated from the leader as deltas;
+//! - [`propose`]: proposals to the leader;
+//! - [`calls`]: the requests of callers connected to this instance; [`idempotency`]: their idempotency keys;
+//! - [`homes`]: the pools scheduled by this instance;
 //! - [`registry`]: endpoints that register themselves by heartbeats;
-//! - [`loads`]: work under way at endpoints, as all instances tell it;
-//! - [`limits`]: rate limits that endpoints name, as all instances know them; [`permits`]: who may send to such endpoints;
-//! - `founding`: the start of the log;
-//! - [`clock`]: the time of day that all agree on;
-//! - [`usage`]: requests by organisation, on their way to the leader;
+//! - [`loads`]: in-flight requests at endpoints, over all instances;
+//! - [`limits`]: rate limits reported by endpoints; [`permits`]: permits to send to such endpoints;
+//! - `founding`: founding of the log;
+//! - [`clock`]: the time of day that all instances agree on;
+//! - [`usage`]: request counts by organisation, reported to the leader;
 //! - [`duties`]: calls that one instance makes for all, under the leader's lease;
 //! - [`orders`]: fenced orders to endpoints, sent by the leader only.
 #![deny(missing_docs, unsafe_code)]
 
-pub mod asking;
 pub mod calls;
 pub mod clock;
 pub mod control;
@@ -50,6 +49,7 @@
 pub mod registry;
 pub mod subset;
 pub mod tree;
+pub mod upstream;
 pub mod usage;
 pub mod view;
 pub mod watchers;
@@ -58,6 +58,6 @@
 pub use effect::{Dispatch, Effect, Stored, Verdict};
 pub use event::{Arrival, Ended, Event, Key};
 pub use options::{Me, Options};
-pub use peer::{Group, Listing, PeerMessage, Watch, Watched};
+pub use peer::{Listing, PeerMessage, RelayGroup, WatchReply, WatchRequest};
 pub use reduce::State;
 pub use registry::{Phase, Registration, Registry};
--- a/crates/rudder-core/src/options.rs
+++ b/crates/rudder-core/src/options.rs
@@ -1,4 +1,4 @@
-//! Who this instance is, and its settings as the reducer needs them.
+//! The identity of an instance and the settings of its reducer.
 
 use std::time::Duration;
 
@@ -7,29 +7,29 @@
 
 use crate::tree::Tree;
 
-/// Who this instance is.
+/// The identity of this instance.
 #[derive(Clone, Debug)]
 pub struct Me {
     /// Its name.
     pub name: InstanceId,
     /// Its hall.
     pub hall: HallId,
-    /// Number of this start.
+    /// Number of its current start.
     pub start: Start,
-    /// Where callers reach it; `None` where it takes none.
+    /// Address for callers; `None` if it accepts none.
     pub address: Option<String>,
-    /// Wall-clock time since the Unix epoch at which the instance's own time was zero.
+    /// Time since the Unix epoch, by the local clock, at which the instance's own time was zero.
     pub epoch: Duration,
 }
 
-/// Reports of requests by organisation and window.
+/// Settings of usage reports: requests by organisation and window.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UsageOptions {
     /// Length of a window.
     pub window: Duration,
-    /// A window's report is due this long after its end.
+    /// Time after the end of a window by which its report is due.
     pub due: Duration,
-    /// When a request began is known this long after at the latest: plain services tell it only with their answer.
+    /// Maximum delay until the start of a request is known; plain services reveal it only with their answer.
     pub settle: Duration,
 }
 
@@ -43,19 +43,19 @@
     }
 }
 
-/// Duties that one instance at a time holds for all.
+/// Settings of the duties that one instance at a time holds for all.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DutyOptions {
-    /// A new holder makes no call for this long, so that two never act by turns within it.
+    /// Time for which a new holder makes no calls, so that two holders never alternate within it.
     pub handover: Duration,
-    /// Reports of requests, where they are wanted.
+    /// Usage reports, if enabled.
     pub usage: Option<UsageOptions>,
-    /// Orders of engines, where they are wanted.
+    /// Scaling of engines, if enabled.
     pub scaling: Option<ScaleOptions>,
 }
 
 impl DutyOptions {
-    /// True where there is a duty at all.
+    /// Returns whether any duty is enabled.
     pub fn is_any(&self) -> bool {
         self.usage.is_some() || self.scaling.is_some()
     }
@@ -64,41 +64,41 @@
 /// Settings of the reducer.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Instances that may lead: those with a disk.
+    /// Instances to contact first when the leader is unknown.
     pub seeds: Vec<InstanceId>,
-    /// Instances that found the log together.
+    /// Instances that found the log.
     pub founders: Vec<InstanceId>,
     /// Halls, nearest first.
     pub nearest: Vec<HallId>,
-    /// Time between questions for newer configuration.
+    /// Interval between watch requests.
     pub watch_interval: Duration,
-    /// No new work is started without proof this young.
+    /// Maximum age of the freshness proof with which new work is started.
     pub freshness_bound: Duration,
-    /// An instance silent for this long is taken off the directory.
+    /// Time without a sign of life after which an instance is removed from the directory.
     pub liveness_timeout: Duration,
-    /// How long callers may keep the list of entries.
+    /// Time for which callers may use a list of entries.
     pub entries_ttl: Duration,
-    /// Time between looks at an endpoint.
+    /// Interval between polls of an endpoint.
     pub poll_interval: Duration,
-    /// Time between two loads ordered, over all endpoints.
+    /// Minimum interval between two load orders, over all endpoints.
     pub load_interval: Duration,
-    /// An order is given up after this long.
+    /// Time after which an order is abandoned.
     pub order_timeout: Duration,
-    /// Entries in the log that make a snapshot due.
+    /// Number of log entries after which a snapshot is taken.
     pub snapshot_every: u64,
-    /// Bytes of commands in the log that make a snapshot due.
+    /// Bytes of commands after which a snapshot is taken.
     pub snapshot_bytes: u64,
-    /// Who asks the leader and who asks a relay.
+    /// The relay tree.
     pub tree: Tree,
-    /// An endpoint unheard for this long is shown as silent.
+    /// Time without a heartbeat after which an endpoint is reported as silent.
     pub silence_timeout: Duration,
-    /// An endpoint's word that it leaves is acknowledged within this or not at all.
+    /// Maximum time for acknowledging the departure of an endpoint.
     pub leave_timeout: Duration,
-    /// Duties held by one instance.
+    /// Duties that one instance holds for all.
     pub duties: DutyOptions,
-    /// The replicated log.
+    /// Settings of the replicated log.
     pub replica: rudder_replica::Options,
-    /// The policy.
+    /// Settings of the scheduling policy.
     pub route: rudder_route::Options,
 }
 
--- a/crates/rudder-core/src/peer.rs
+++ b/crates/rudder-core/src/peer.rs
@@ -1,4 +1,6 @@
-//! Messages between instances. Any of them may be lost, doubled, late or out of order.
+//! Messages between instances. Any of them may be lost, duplicated, delayed or reordered.
+//!
+//! Structs are encoded by field order and enum variants by name; both are part of the wire format.
 
 use std::time::Duration;
 
@@ -17,117 +19,116 @@
     usage::{UsageAck, UsageUpdate},
 };
 
-/// A live instance, as the leader lists it.
+/// An entry of the directory of live instances.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listing {
     /// Its name.
     pub name: InstanceId,
     /// Its hall.
     pub hall: HallId,
-    /// Where callers reach it; `None` where it takes none.
+    /// Address for callers; `None` if it accepts none.
     pub address: Option<String>,
-    /// Number of its start.
+    /// Number of its current start.
     pub start: Start,
-    /// It is in a planned stop.
+    /// A planned stop is in progress.
     pub stopping: bool,
-    /// Its replica's id, where it has a disk.
+    /// Its replica id, if it has a disk.
     pub replica: Option<ReplicaId>,
 }
 
 impl Listing {
-    /// True while callers may be sent to it.
+    /// Returns whether callers may be directed to it.
     pub fn takes_callers(&self) -> bool {
         self.address.is_some() && !self.stopping
     }
 }
 
-/// A question to the leader, or to a relay that asks the leader itself.
+/// Asks the leader, or a relay that queries the leader itself, for updates, and carries the sender's own reports.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Watch {
-    /// Counts the sender's questions.
+pub struct WatchRequest {
+    /// Sequence number of the sender's requests.
     pub round: u64,
-    /// Who asks.
+    /// The sender.
     pub listing: Listing,
-    /// Configuration index it holds.
+    /// Configuration index held by the sender.
     pub index: u64,
-    /// Directory version it holds.
+    /// Directory version held by the sender.
     pub directory: Version,
-    /// Version of the configuration document it holds; 0 for none.
+    /// Version of the configuration document held by the sender; 0 for none.
     pub document: u64,
-    /// Registry version it holds.
+    /// Registry version held by the sender.
     pub registry: Version,
-    /// Log index as of which it knows the contents in quarantine.
+    /// Log index of the quarantine state held by the sender.
     pub quarantine: u64,
-    /// Log index as of which it knows the halls that are evacuated.
+    /// Log index of the evacuation state held by the sender.
     pub evacuations: u64,
-    /// Heartbeats of endpoints that it heard and nobody has yet confirmed.
-    pub heard: Vec<Registration>,
-    /// Work under way at endpoints, its own and that of those who ask it, where it is not nothing. `None` in a
-    /// question past the relay that the asker tells its work to, and where it was told shortly before.
+    /// Endpoint heartbeats received by the sender and not yet confirmed by a reply.
+    pub heartbeats: Vec<Registration>,
+    /// Non-empty loads of the sender and of its watchers. `None` if the request bypasses the relay that the sender
+    /// reports its loads to, or if they were reported recently.
     pub loads: Option<Vec<Load>>,
-    /// What endpoints said of their rate limits to the sender and to those who ask it; told with the loads.
+    /// Rate limits that endpoints reported to the sender and to its watchers; sent together with the loads.
     pub limits: Vec<LimitReport>,
-    /// Those who ask the sender, where it is a relay.
-    pub group: Option<Group>,
-    /// Time of day by the sender's clock; by the median of its own and its askers', where it is a relay.
+    /// The sender's watchers, if it is a relay.
+    pub group: Option<RelayGroup>,
+    /// The sender's time of day; a relay sends the median of its own clock and its watchers' clocks.
     pub clock: Duration,
 }
 
-/// The instances that ask a relay.
+/// The watchers of a relay.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Group {
-    /// Changes with the members or with what they are.
+pub struct RelayGroup {
+    /// Changes whenever a member is added, removed or modified.
     pub version: u64,
-    /// The members; `None` where the receiver has said that it holds this version.
+    /// The members; `None` if the receiver has reported that it holds this version.
     pub members: Option<Vec<Listing>>,
 }
 
-/// The answer of a leader with a valid lease, or of a relay from what it learned of the leader.
+/// The reply of a leader with a valid lease, or of a relay from its copy of the leader's state.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Watched {
-    /// The round answered.
+pub struct WatchReply {
+    /// The round of the request.
     pub round: u64,
-    /// Who leads.
+    /// The leader.
     pub leader: InstanceId,
-    /// How old the answerer's own proof was when it answered; nothing for the leader.
+    /// Age of the replier's own freshness proof at the time of the reply; zero for the leader.
     pub age: Duration,
-    /// Configuration index in the question.
-    pub asked: u64,
-    /// Configuration index that the deltas lead to.
+    /// Configuration index in the request.
+    pub requested_index: u64,
+    /// Configuration index reached by applying the deltas.
     pub index: u64,
-    /// The deltas lead to all there is.
+    /// The deltas reach the current configuration; otherwise more remain to be fetched.
     pub complete: bool,
-    /// Objects changed since.
+    /// Objects changed since the requested index.
     pub deltas: Vec<Delta>,
-    /// What the asker lacks of the directory.
+    /// Directory changes since the sender's version.
     pub directory: Option<DirectoryNews>,
-    /// Version of the newest configuration document. An asker that does not hold it has no proof.
-    pub newest: u64,
-    /// The configuration document, where it is a newer one and not on its way already.
+    /// Version of the current configuration document. A watcher that does not hold it has no freshness proof.
+    pub latest_document: u64,
+    /// The configuration document, if the watcher's is older and none was sent recently.
     pub document: Option<DocumentNews>,
-    /// What the asker lacks of the registry.
+    /// Registry changes since the sender's version.
     pub registry: Option<RegistryDelta>,
-    /// Some of what the asker lacks of the registry is not in this answer: it is on its way, or comes with the next. An asker
-    /// that may lack the leave of an endpoint has no proof.
+    /// This reply omits some registry changes, which are in flight or follow in the next one. The watcher may be
+    /// missing the departure of an endpoint, so this reply is no freshness proof.
     pub pending: bool,
-    /// What of the registry the asker's hall is not told of; `None` where it is told everything.
+    /// The part of the registry that is withheld from the watcher's hall; `None` if it receives everything.
     pub scope: Option<Scope>,
-    /// What the asker lacks of the contents in quarantine.
+    /// Quarantine changes since the sender's index.
     pub quarantine: Option<QuarantineNews>,
-    /// All halls that are or were evacuated, where the asker holds an older state.
+    /// All halls that are or were evacuated, if the watcher's state is older.
     pub evacuations: Option<Evacuations>,
-    /// Work under way at endpoints by all instances but the asker and those who ask it; `None` where the question told
-    /// none.
+    /// Loads of all instances except the watcher and its own watchers; `None` if the request carried no loads.
     pub loads: Option<Vec<Load>>,
-    /// What endpoints said of their rate limits; told with the loads.
+    /// Rate limits reported by endpoints; sent together with the loads.
     pub limits: Vec<LimitReport>,
-    /// Version of the asker's group that the answerer holds; 0 for none.
+    /// Version of the watcher's group held by the replier; 0 for none.
     pub group: u64,
-    /// The agreed time of day, where the answerer knows it.
+    /// The agreed time of day, if the replier knows it.
     pub time: Option<Duration>,
 }
 
-impl Watched {
+impl WatchReply {
     fn weight(&self) -> usize {
         let document = match &self.document {
             Some(DocumentNews::Whole(document)) => document.body.len() / 100,
@@ -142,14 +143,14 @@
 /// A document that the receiver does not hold.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum DocumentNews {
-    /// All of it.
+    /// The complete document.
     Whole(Document),
-    /// What differs from the one that the receiver holds.
+    /// The difference from the document that the receiver holds.
     Patch(Patch),
 }
 
 impl DocumentNews {
-    /// The document, for the holder of `held`; `None` where this is a patch of another one.
+    /// Returns the new document given the `held` one; `None` if this is a patch for a different document.
     pub fn to_document(&self, held: Option<&Document>) -> Option<Document> {
         match self {
             DocumentNews::Whole(document) => Some(document.clone()),
@@ -161,30 +162,30 @@
 /// What an instance lacks of the directory of live instances.
 pub type DirectoryNews = MapDelta<InstanceId, Listing>;
 
-/// Work under way at one endpoint.
+/// In-flight requests and recent failures at one endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// The endpoint, in short.
+    /// Short tag of the endpoint.
     pub endpoint: EndpointTag,
-    /// Requests sent and not yet ended.
+    /// Requests sent that have not ended.
     pub calls: u32,
-    /// Prompt tokens sent whose first output has not come.
+    /// Prompt tokens of requests that have not produced output yet.
     pub unread: u32,
-    /// Tokens of memory that its requests may need, prompts and answers together.
+    /// Memory in tokens that its requests may need for prompts and outputs.
     pub held: u32,
-    /// Requests that ended of late.
+    /// Requests that ended recently.
     pub ended: u32,
-    /// Of these, requests that failed by the endpoint.
+    /// Recently ended requests that the endpoint failed.
     pub failed: u32,
 }
 
 impl Load {
-    /// No work at `endpoint`.
+    /// Returns an empty load of `endpoint`.
     pub fn none(endpoint: EndpointTag) -> Load {
         Load { endpoint, calls: 0, unread: 0, held: 0, ended: 0, failed: 0 }
     }
 
-    /// True where there is nothing to tell.
+    /// Returns whether there is nothing to report.
     pub fn is_none(&self) -> bool {
         self.calls == 0 && self.ended == 0
     }
@@ -193,54 +194,57 @@
 /// A message between instances.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Between replicas.
+    /// Carries a message between replicas.
     Replica(Envelope),
-    /// Asks whether the receiver knows a log already founded.
+    /// Asks whether the receiver knows of a log that has already been founded.
     Founding {
         /// The sender's replica id.
         replica: ReplicaId,
-        /// The founding members, where the sender knows them.
+        /// The founding members, if the sender knows them.
         members: Option<Members>,
-        /// The sender wants an answer.
+        /// The sender expects an answer.
         ask: bool,
     },
-    /// Reports that the sender lives, and asks for newer configuration.
-    Watch(Box<Watch>),
-    /// Answers [`PeerMessage::Watch`], from a leader with a valid lease.
-    Watched(Box<Watched>),
-    /// From whom the receiver asks: there is news, ask now rather than at the next turn.
+    /// Reports that the sender is alive and asks for updates.
+    #[serde(rename = "Watch")]
+    WatchRequest(Box<WatchRequest>),
+    /// Answers [`PeerMessage::WatchRequest`].
+    #[serde(rename = "Watched")]
+    WatchReply(Box<WatchReply>),
+    /// Sent to watchers: updates are available, so send the next watch request now.
     Notify,
-    /// Answers a question or proposal that only the leader can answer.
-    Elsewhere {
-        /// The leader, where one is known.
+    /// Answers a request or proposal that only the leader can answer.
+    #[serde(rename = "Elsewhere")]
+    Redirect {
+        /// The leader, if known.
         leader: Option<InstanceId>,
     },
     /// Proposes a command.
     Propose {
-        /// Counts the sender's proposals.
+        /// Sequence number of the sender's proposals.
         ticket: u64,
-        /// The sender's start.
+        /// Number of the sender's start.
         start: Start,
         /// The command.
         command: Command,
     },
     /// Answers a proposal, once it is committed and applied.
     Proposed {
-        /// The ticket.
+        /// Ticket of the proposal.
         ticket: u64,
-        /// The start of the proposer.
+        /// Number of the proposer's start.
         start: Start,
         /// The answer.
         answer: Answer,
     },
-    /// Asks whether an attempt that holds a claim still lives.
+    /// Asks whether an attempt that holds a claim is still running.
     Attempt {
         /// The key claimed.
         key: String,
         /// The attempt.
         attempt: Attempt,
     },
-    /// To the home of a pool.
+    /// Sent to the home of a pool.
     ToPool {
         /// The pool's hall.
         hall: HallId,
@@ -249,39 +253,39 @@
         /// The message.
         message: ToPool,
     },
-    /// From the home of a pool to an entry whose digest does not fit: send all that is held.
+    /// Sent by the home of a pool to an entry whose digest does not match: the entry sends all its grants.
     Resync {
         /// The pool's hall.
         hall: HallId,
         /// The pool's model or service.
         model: ModelId,
     },
-    /// From the home of a pool to the entry of a request.
+    /// Sent by the home of a pool to the entry of a request.
     FromPool {
         /// The request.
         request: RequestId,
         /// The message.
         message: FromPool,
     },
-    /// To the leader: requests that began at the sender.
+    /// Reports requests started at the sender to the leader.
     Usage(Box<UsageUpdate>),
-    /// Answers [`PeerMessage::Usage`], once the log holds it.
+    /// Answers [`PeerMessage::Usage`] once the counts are committed.
     #[serde(rename = "UsageTaken")]
     UsageAck(UsageAck),
-    /// To the holder of an endpoint's rate limit: the sender wants to send to the endpoint.
+    /// Asks the holder of an endpoint's rate limit for a permit to send to the endpoint.
     AskPermit {
-        /// Counts the sender's questions.
+        /// Sequence number of the sender's permit requests.
         ticket: u64,
-        /// The sender's start.
+        /// Number of the sender's start.
         start: Start,
-        /// What is asked.
+        /// The permit request.
         request: PermitRequest,
     },
     /// Answers [`PeerMessage::AskPermit`].
     Permit {
-        /// The ticket.
+        /// Ticket of the permit request.
         ticket: u64,
-        /// The start of the asker.
+        /// Number of the requester's start.
         start: Start,
         /// The answer.
         answer: PermitAnswer,
@@ -289,26 +293,26 @@
 }
 
 impl PeerMessage {
-    /// Entries and hundreds of bytes that it carries: about what it costs to hold until it is sent.
+    /// Approximate cost of queueing the message, in entries and hundreds of bytes.
     pub fn weight(&self) -> usize {
         match self {
-            PeerMessage::Watched(watched) => watched.weight(),
-            PeerMessage::Watch(watch) => {
-                watch.heard.len() + watch.loads.as_ref().map_or(0, Vec::len) + watch.limits.len()
+            PeerMessage::WatchReply(reply) => reply.weight(),
+            PeerMessage::WatchRequest(request) => {
+                request.heartbeats.len() + request.loads.as_ref().map_or(0, Vec::len) + request.limits.len()
             }
             _ => 1,
         }
     }
 
-    /// What it is called in figures.
+    /// Its name in metrics.
     pub fn kind(&self) -> &'static str {
         match self {
             PeerMessage::Replica(_) => "replica",
             PeerMessage::Founding { .. } => "founding",
-            PeerMessage::Watch(_) => "watch",
-            PeerMessage::Watched(_) => "watched",
+            PeerMessage::WatchRequest(_) => "watch",
+            PeerMessage::WatchReply(_) => "watched",
             PeerMessage::Notify => "notify",
-            PeerMessage::Elsewhere { .. } => "elsewhere",
+            PeerMessage::Redirect { .. } => "elsewhere",
             PeerMessage::Propose { .. } => "propose",
             PeerMessage::Proposed { .. } => "proposed",
             PeerMessage::Attempt { .. } => "attempt",
@@ -323,30 +327,30 @@
     }
 }
 
-/// From an entry to the home of a pool.
+/// A message from an entry to the home of a pool.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum ToPool {
-    /// Wants a slot.
+    /// Requests a slot.
     Ask(SlotRequest),
-    /// The caller left, or another pool serves the request.
+    /// Withdraws a slot request: the caller disconnected, or another pool serves it.
     Withdraw(RequestId),
-    /// The first token came.
+    /// The first token arrived this long after dispatch.
     First(RequestId, Duration),
     /// A grant ended.
     End(RequestId, GrantOutcome),
-    /// Digest of the grants that the entry holds in this pool: sixteen bytes a second instead of all.
+    /// Digest of the grants that the entry holds in this pool, sent instead of the full list.
     Digest(u64),
     /// All grants that the entry holds in this pool.
     Sync(Vec<HeldGrant>),
 }
 
-/// From the home of a pool to an entry.
+/// A message from the home of a pool to an entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum FromPool {
-    /// A slot at this endpoint.
+    /// Grants a slot at this endpoint after this long in the queue.
     Grant(EndpointId, Duration),
-    /// Refused.
+    /// Refuses the request.
     Refuse(Refusal),
-    /// Stop it, to make room for this request.
+    /// Preempts the request, to make room for the one named.
     Recall(RequestId),
 }
--- a/crates/rudder-core/src/reduce.rs
+++ b/crates/rudder-core/src/reduce.rs
@@ -1,4 +1,4 @@
-//! The state of an instance and the reducer over all events.
+//! The state of an instance and its reducer.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -8,7 +8,7 @@
 use rudder_replica::{Durable, ReplicaId};
 
 use crate::{
-    Effect, Event, Me, Options, PeerMessage, Watch,
+    Effect, Event, Me, Options, PeerMessage, WatchRequest,
     calls::{Calls, Context},
     clock::Clock,
     control::Control,
@@ -26,56 +26,56 @@
     watchers::Watchers,
 };
 
-/// How long an operator's change is tried before its outcome is called unknown.
+/// Time after which the outcome of an operator's change is reported as unknown.
 const ADMIN_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long a document or an evacuation is tried before its outcome is called unknown; its sender waits no longer.
+/// Time after which the outcome of a document or an evacuation order is reported as unknown.
 const DOCUMENT_TIMEOUT: Duration = Duration::from_millis(2500);
-/// How long findings are tried. What is still not in the log then has been learned again by the next end, or does not
-/// come again.
+/// Time for which findings are proposed. Losing them is safe: a content that keeps failing is found again.
 const FINDINGS_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The whole state of one instance.
+/// The complete state of one instance.
 #[derive(Debug)]
 pub struct State {
-    /// Who it is.
+    /// Identity of this instance.
     pub me: Me,
-    /// Its settings.
+    /// Settings.
     pub options: Options,
-    /// Configuration and directory in force here.
+    /// Configuration and directory in force.
     pub view: View,
-    /// Shared state, where it has a disk.
+    /// Replicated state, if this instance has a disk.
     pub control: Option<Control>,
-    /// The requests of its callers.
+    /// Requests of the callers connected to this instance.
     pub calls: Calls,
-    /// The pools it decides for.
+    /// The pools scheduled by this instance.
     pub homes: Homes,
     orders: Orders,
     duties: Duties,
     usage_reporter: UsageReporter,
     proposals: Proposals,
     promises: Promises,
+    /// Time at which the planned stop began.
     stopping: Option<Duration>,
     exited: bool,
-    leaves: Vec<Leave>,
-    /// Orders on halls that wait for proof.
+    pending_leaves: Vec<PendingLeave>,
+    /// Evacuation orders that wait for a freshness proof.
     hall_orders: HallOrders,
-    /// What was found since the last tick.
+    /// Findings since the last tick.
     findings: Findings,
-    /// Those who ask here while another instance leads.
+    /// Watchers of this instance while it acts as a relay.
     watchers: Watchers,
     permits: Permits,
 }
 
-/// An endpoint that waits for the acknowledgement of its leave.
+/// A departing endpoint whose departure has not been acknowledged.
 #[derive(Debug)]
-struct Leave {
+struct PendingLeave {
     ticket: u64,
     endpoint: EndpointId,
     until: Duration,
 }
 
 impl State {
-    /// The state of an instance that starts at `now`; `disk` is what its data folder held.
+    /// Creates the state of an instance that starts at `now`; `disk` is the content of its data folder.
     pub fn new(now: Duration, me: Me, options: Options, disk: Option<(ReplicaId, Durable)>) -> State {
         let control = disk.map(|(id, durable)| Control::new(id, &me, &options, durable, now));
         let mut view = View::default();
@@ -99,7 +99,7 @@
             promises: Promises::default(),
             stopping: None,
             exited: false,
-            leaves: Vec::new(),
+            pending_leaves: Vec::new(),
             hall_orders: HallOrders::default(),
             findings: Findings::default(),
             watchers: Watchers::default(),
@@ -107,34 +107,34 @@
         }
     }
 
-    /// Promises checked by this instance so far.
+    /// Returns the promises checked by this instance so far.
     pub fn to_promises(&self) -> Promises {
         let mut promises = self.promises.clone();
         promises.merge(&self.homes.to_promises());
         promises
     }
 
-    /// True while this instance may start new work.
+    /// Returns whether this instance may start new work.
     pub fn is_ready(&self, now: Duration) -> bool {
         self.view.is_fresh(now, self.options.freshness_bound) && self.stopping.is_none()
     }
 
-    /// Commands on their way to the leader.
+    /// Returns the number of pending proposals.
     pub fn proposals(&self) -> usize {
         self.proposals.len()
     }
 
-    /// Requests that began here and that the log does not hold yet.
+    /// Returns the number of requests started here that are not known to be committed.
     pub fn unreported_requests(&self) -> u64 {
         self.usage_reporter.unreported_requests()
     }
 
-    /// Handles one event. Messages of the instance to itself are handled before it returns.
+    /// Handles one event, including any messages that the instance sends to itself as a result.
     pub fn reduce(&mut self, now: Duration, event: Event, out: &mut Vec<Effect>) {
         let mut events = VecDeque::from([event]);
         while let Some(event) = events.pop_front() {
             let mut effects = Vec::new();
-            self.step(now, event, &mut effects);
+            self.handle(now, event, &mut effects);
             for effect in effects {
                 match effect {
                     Effect::Send { to, message } if to == self.me.name => {
@@ -146,7 +146,7 @@
         }
     }
 
-    fn step(&mut self, now: Duration, event: Event, out: &mut Vec<Effect>) {
+    fn handle(&mut self, now: Duration, event: Event, out: &mut Vec<Effect>) {
         match event {
             Event::Tick => self.tick(now, out),
             Event::Peer { from, message } => self.on_peer(now, from, message, out),
@@ -184,8 +184,8 @@
             Event::Evacuate { ticket, hall, begins } => {
                 let until = now + DOCUMENT_TIMEOUT;
                 self.hall_orders.add(HallOrder { ticket, hall, begins, came: now, until });
-                self.view.asking.ask_leader_soon();
-                self.ask(now, out);
+                self.view.upstream.request_leader_soon();
+                self.send_watch_request(now, out);
             }
             Event::Register { ticket, registration } => self.register(now, ticket, registration, out),
             Event::Loads(loads) => self.view.set_loads(loads),
@@ -193,9 +193,9 @@
             Event::AskPermit { ticket, request } => {
                 self.permits.ask(now, &self.me, &self.view, (ticket, request), out);
             }
-            Event::RequestsStarted(begun) => {
+            Event::RequestsStarted(started) => {
                 if let Some(usage) = &self.options.duties.usage {
-                    self.usage_reporter.note(begun, &self.view, usage);
+                    self.usage_reporter.record(started, &self.view, usage);
                 }
             }
             Event::Findings(findings) => self.findings.append(findings),
@@ -206,14 +206,14 @@
                     self.duties.on_services(context, states);
                 }
             }
-            Event::ClockStepped(origin) => self.view.clock.set_own(now, origin),
+            Event::ClockStepped(origin) => self.view.clock.set_local(now, origin),
             Event::CallEnded { ticket, outcome } => self.duties.on_called(now, ticket, outcome),
             Event::ProveFreshness => {
-                self.view.asking.ask_leader_soon();
-                self.ask(now, out);
+                self.view.upstream.request_leader_soon();
+                self.send_watch_request(now, out);
             }
             Event::Seeds(seeds) => self.view.set_seeds(seeds),
-            Event::Stop => self.stop(now, out),
+            Event::Stop => self.begin_stop(now, out),
         }
         self.send_proposals(now, out);
     }
@@ -233,21 +233,21 @@
         self.propose_findings(now);
         self.watchers.age(now, self.options.liveness_timeout);
         self.watchers.tick(now, out);
-        self.ask(now, out);
-        self.end_leaves(now, out);
-        self.end_hall_orders(now, out);
+        self.send_watch_request(now, out);
+        self.answer_leaves(now, out);
+        self.answer_hall_orders(now, out);
         self.view.registry.forget_gone(now);
-        self.view.age_limits(now);
+        self.view.prune_limits(now);
         self.permits.tick(now, out);
         self.homes.tick(now, &self.me, &self.view, &self.options, out);
         self.with_calls(now, out, Calls::tick);
         if self.view.mark_of(&self.me.name) == Mark::Stopping {
-            self.stop(now, out);
+            self.begin_stop(now, out);
         }
-        self.end_stop(now, out);
+        self.finish_stop(now, out);
     }
 
-    /// Hands what was found since the last tick to the log.
+    /// Proposes the findings since the last tick.
     fn propose_findings(&mut self, now: Duration) {
         if self.findings.is_empty() {
             return;
@@ -256,40 +256,40 @@
         self.proposals.start(Purpose::Record, Command::Findings(findings), now + FINDINGS_TIMEOUT);
     }
 
-    /// Asks the leader for news when it is time to.
-    fn ask(&mut self, now: Duration, out: &mut Vec<Effect>) {
+    /// Sends a watch request if one is due.
+    fn send_watch_request(&mut self, now: Duration, out: &mut Vec<Effect>) {
         let replica = self.control.as_ref().map(|control| control.replica.id());
         let stopping = self.stopping.is_some();
         let leads = self.leads(now);
-        self.view.asking.note_leads(&self.me.name, leads);
-        self.view.ask(now, &self.me, (replica, stopping), &self.watchers, &self.options, out);
+        self.view.upstream.set_leading(&self.me.name, leads);
+        self.view.send_watch_request(now, &self.me, (replica, stopping), &self.watchers, &self.options, out);
     }
 
-    /// Asks the leader for news whether it is time to or not.
-    fn ask_now(&mut self, now: Duration, out: &mut Vec<Effect>) {
-        self.view.asking.ask_soon();
-        self.ask(now, out);
+    /// Sends a watch request immediately.
+    fn watch_now(&mut self, now: Duration, out: &mut Vec<Effect>) {
+        self.view.upstream.request_soon();
+        self.send_watch_request(now, out);
     }
 
-    /// Handles a heartbeat. That an endpoint leaves is acknowledged only once the leader knows it: the
-    /// instances it tells then use it no more, and a lost instance cannot take the word with it.
+    /// Handles a heartbeat. A departure is acknowledged only once the leader has confirmed it, so that it survives the
+    /// loss of this instance.
     fn register(&mut self, now: Duration, ticket: u64, registration: Registration, out: &mut Vec<Effect>) {
-        let leaves = registration.phase >= Phase::Leaving;
+        let leaving = registration.phase >= Phase::Leaving;
         let endpoint = registration.endpoint.clone();
-        self.view.hear(now, registration);
-        if !leaves {
+        self.view.record_heartbeat(now, registration);
+        if !leaving {
             let accepted = self.view.is_fresh(now, self.options.freshness_bound);
             out.push(Effect::Registered { ticket, accepted });
             return;
         }
-        self.leaves.push(Leave { ticket, endpoint, until: now + self.options.leave_timeout });
-        self.ask_now(now, out);
+        self.pending_leaves.push(PendingLeave { ticket, endpoint, until: now + self.options.leave_timeout });
+        self.watch_now(now, out);
     }
 
-    /// Answers the endpoints whose leave the leader has confirmed, or did not in time.
-    fn end_leaves(&mut self, now: Duration, out: &mut Vec<Effect>) {
+    /// Answers departing endpoints once the leader has confirmed the departure or the timeout has passed.
+    fn answer_leaves(&mut self, now: Duration, out: &mut Vec<Effect>) {
         let view = &self.view;
-        self.leaves.retain(|leave| {
+        self.pending_leaves.retain(|leave| {
             let accepted = view.is_confirmed(&leave.endpoint);
             if accepted || now >= leave.until {
                 out.push(Effect::Registered { ticket: leave.ticket, accepted });
@@ -299,7 +299,7 @@
         });
     }
 
-    /// Proposes the orders on halls that may count now.
+    /// Proposes the evacuation orders that are now covered by a freshness proof.
     fn propose_hall_orders(&mut self) {
         let as_of = self.view.evacuations.index();
         for HallOrder { ticket, hall, begins, until, .. } in self.hall_orders.take_proved(self.view.proved()) {
@@ -308,29 +308,29 @@
         }
     }
 
-    /// Answers the orders on halls that have waited in vain for proof; asks for it again for the others.
-    fn end_hall_orders(&mut self, now: Duration, out: &mut Vec<Effect>) {
-        for late in self.hall_orders.take_expired(now) {
-            out.push(Effect::Evacuated { ticket: late.ticket, decided: false });
+    /// Answers evacuation orders that have timed out and requests a proof from the leader for the others.
+    fn answer_hall_orders(&mut self, now: Duration, out: &mut Vec<Effect>) {
+        for expired in self.hall_orders.take_expired(now) {
+            out.push(Effect::Evacuated { ticket: expired.ticket, decided: false });
         }
         if !self.hall_orders.is_empty() {
-            self.view.asking.want_leader();
+            self.view.upstream.prefer_leader();
         }
     }
 
-    /// Begins a planned stop: off the lists at once, still serving callers that hold an old list.
-    fn stop(&mut self, now: Duration, out: &mut Vec<Effect>) {
+    /// Begins a planned stop: the instance leaves the lists of entries but keeps serving callers with an old list.
+    fn begin_stop(&mut self, now: Duration, out: &mut Vec<Effect>) {
         if self.stopping.is_none() {
             self.stopping = Some(now);
             out.push(Effect::Log(What::Stopping));
-            self.ask_now(now, out);
+            self.watch_now(now, out);
         }
     }
 
-    /// Ends a planned stop once the callers' lists have expired and nothing is in flight.
-    fn end_stop(&mut self, now: Duration, out: &mut Vec<Effect>) {
+    /// Completes a planned stop once the callers' lists have expired and nothing is in flight.
+    fn finish_stop(&mut self, now: Duration, out: &mut Vec<Effect>) {
         let Some(since) = self.stopping else { return };
-        // A list handed out just before others learned of the stop is kept for as long again.
+        // Other instances may hand out lists with this entry until their own view expires.
         let expired = now >= since + self.options.entries_ttl + self.options.freshness_bound;
         let idle = self.calls.is_empty() && self.proposals.len() == 0;
         if !expired || !idle || self.exited {
@@ -344,21 +344,21 @@
 
     fn on_peer(&mut self, now: Duration, from: InstanceId, message: PeerMessage, out: &mut Vec<Effect>) {
         match message {
-            PeerMessage::Watched(watched) => {
-                let learned =
-                    self.view.on_watched(now, &from, *watched, &mut self.promises, (&self.me, &self.options), out);
-                if learned.changed {
+            PeerMessage::WatchReply(reply) => {
+                let changes =
+                    self.view.on_watch_reply(now, &from, *reply, &mut self.promises, (&self.me, &self.options), out);
+                if changes.changed {
                     self.homes.on_view(now, &self.me, &self.view, out);
                 }
-                if learned.urgent {
+                if changes.urgent {
                     self.watchers.notify(now, None, out);
                 }
-                self.end_leaves(now, out);
+                self.answer_leaves(now, out);
                 self.propose_hall_orders();
             }
-            PeerMessage::Notify => self.ask_now(now, out),
-            PeerMessage::Elsewhere { leader } => {
-                self.view.asking.on_elsewhere(&from, leader);
+            PeerMessage::Notify => self.watch_now(now, out),
+            PeerMessage::Redirect { leader } => {
+                self.view.upstream.on_redirect(&from, leader);
                 self.proposals.retry_soon(now);
             }
             PeerMessage::Proposed { ticket, start, answer } => {
@@ -377,7 +377,7 @@
                 self.with_calls(now, out, |calls, context| calls.resync(context, from, &(hall, model)));
             }
             PeerMessage::FromPool { request, message } => self.on_pool(now, &from, request, message, out),
-            PeerMessage::UsageAck(taken) => self.usage_reporter.on_taken(&from, taken),
+            PeerMessage::UsageAck(ack) => self.usage_reporter.on_ack(&from, ack),
             PeerMessage::AskPermit { ticket, start, request } => {
                 self.view.limits.record_received(now, request.limit);
                 let answer = self.permits.answer(now, &self.me, &self.view, &self.options, &request);
@@ -388,8 +388,8 @@
                     self.permits.on_answer(ticket, answer, out);
                 }
             }
-            PeerMessage::Watch(watch) if self.may_relay(now, &from) => {
-                self.answer_as_relay(now, from, *watch, out);
+            PeerMessage::WatchRequest(watch) if self.can_relay_to(now, &from) => {
+                self.reply_as_relay(now, from, *watch, out);
             }
             message => self.on_control(now, from, message, out),
         }
@@ -399,27 +399,27 @@
         self.control.as_ref().is_some_and(|control| control.replica.leads(now))
     }
 
-    /// True where `from` may be answered from what was learned here: never the instance itself, for whom that is no news.
-    fn may_relay(&self, now: Duration, from: &InstanceId) -> bool {
-        *from != self.me.name && !self.leads(now) && self.view.to_source(now, &self.options).is_some()
+    /// Returns whether `from` may be answered from this instance's view. Its own requests need the leader's reply.
+    fn can_relay_to(&self, now: Duration, from: &InstanceId) -> bool {
+        *from != self.me.name && !self.leads(now) && self.view.relay_source(now, &self.options).is_some()
     }
 
-    /// Answers from what this instance, which asks the leader itself, has learned of it.
-    fn answer_as_relay(&mut self, now: Duration, from: InstanceId, mut watch: Watch, out: &mut Vec<Effect>) {
-        let heard = std::mem::take(&mut watch.heard);
+    /// Replies to a watcher from this instance's view.
+    fn reply_as_relay(&mut self, now: Duration, from: InstanceId, mut watch: WatchRequest, out: &mut Vec<Effect>) {
+        let heartbeats = std::mem::take(&mut watch.heartbeats);
         self.view.record_limits(now, &watch.limits);
-        self.view.clock.note(now, &from, watch.clock);
-        let mut news = self.watchers.note(now, &watch.listing);
-        for registration in heard {
-            news |= registration.phase >= Phase::Leaving;
-            self.view.hear(now, registration);
+        self.view.clock.record_reading(now, &from, watch.clock);
+        let mut changed = self.watchers.record(now, &watch.listing);
+        for registration in heartbeats {
+            changed |= registration.phase >= Phase::Leaving;
+            self.view.record_heartbeat(now, registration);
         }
-        if let Some(source) = self.view.to_source(now, &self.options) {
-            let watched = self.watchers.answer(now, watch, 0, source);
-            out.push(Effect::Send { to: from, message: PeerMessage::Watched(Box::new(watched)) });
+        if let Some(source) = self.view.relay_source(now, &self.options) {
+            let reply = self.watchers.reply(now, watch, 0, source);
+            out.push(Effect::Send { to: from, message: PeerMessage::WatchReply(Box::new(reply)) });
         }
-        if news {
-            self.ask_now(now, out);
+        if changed {
+            self.watch_now(now, out);
         }
     }
 
@@ -434,23 +434,23 @@
         self.with_calls(now, out, |calls, context| calls.on_pool(context, from, request, message));
     }
 
-    /// Messages that only an instance with a disk can answer.
+    /// Handles messages that only an instance with a disk can answer.
     fn on_control(&mut self, now: Duration, from: InstanceId, message: PeerMessage, out: &mut Vec<Effect>) {
         let Some(control) = &mut self.control else {
-            if matches!(message, PeerMessage::Watch(_) | PeerMessage::Propose { .. }) {
-                // Seeds may name an instance without a disk; it passes on whom it asks itself.
+            if matches!(message, PeerMessage::WatchRequest(_) | PeerMessage::Propose { .. }) {
+                // The seeds may include instances without a disk, which redirect to the leader.
                 let leader = self.view.leader().filter(|leader| **leader != from).cloned();
-                out.push(Effect::Send { to: from, message: PeerMessage::Elsewhere { leader } });
+                out.push(Effect::Send { to: from, message: PeerMessage::Redirect { leader } });
             }
             return;
         };
-        control.note_role(now, &self.view, &self.options, out);
+        control.update_role(now, &self.view, &self.options, out);
         match message {
             PeerMessage::Replica(envelope) => control.on_replica(now, envelope, &self.options, out),
             PeerMessage::Founding { replica, members, ask } => {
                 control.on_founding(from, replica, members.as_ref(), ask, out);
             }
-            PeerMessage::Watch(watch) => {
+            PeerMessage::WatchRequest(watch) => {
                 self.view.record_limits(now, &watch.limits);
                 let known = (&mut self.view.clock, &self.view.limits);
                 control.on_watch(now, from, *watch, known, out);
--- a/crates/rudder-core/src/tree.rs
+++ b/crates/rudder-core/src/tree.rs
@@ -1,9 +1,9 @@
-//! Whom an instance asks for news: the leader, or a relay of its hall that asks the leader.
+//! The relay tree: selects the instances that query the leader, and the relays of all others.
 //!
-//! Every instance works the relays out from its own copy of the directory, by the same hash, so no word is spent on
-//! choosing them and a new leader finds the same ones. Copies that differ for a moment do no harm: a relay is only an
-//! instance that asks the leader itself, and any such instance answers. With relays the leader is asked by a number
-//! of instances that grows with the fleet by one for each [`Tree::askers`], and by no more than that.
+//! Every instance derives the relays of its hall from its own copy of the directory by rendezvous hashing, without any
+//! coordination. Copies that differ for a moment do no harm: a relay is just an instance that queries the leader
+//! itself, and any such instance replies. The leader then serves about one watcher for every [`Tree::askers`]
+//! instances.
 
 use std::cmp::Reverse;
 
@@ -12,18 +12,17 @@
 
 use crate::{Listing, Me, delta_map::DeltaMap};
 
-/// Settings of the tree. All instances must have the same.
+/// Settings of the relay tree, which must be the same at all instances.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Tree {
-    /// Live instances up to which all ask the leader: it bears about as many (docs/CAPACITY.md).
+    /// Maximum number of live instances without relays (see docs/CAPACITY.md).
     pub direct: usize,
-    /// Instances of a hall for each of its relays. A relay on a link of 10 Mbit/s spends a fifth of it on 20 that ask
-    /// five times a second for the loads of 200 endpoints.
+    /// Number of instances of a hall for each of its relays.
     pub askers: usize,
-    /// Relays of a hall at least, so that the loss of one leaves one.
+    /// Minimum number of relays of a hall.
     pub least: usize,
-    /// Periods of questions to the leader in one of questions to a relay, which has as many askers but a smaller link.
+    /// Interval of requests to a relay, as a multiple of the interval of requests to the leader.
     pub periods: u32,
 }
 
@@ -37,13 +36,13 @@
 pub type Directory = DeltaMap<InstanceId, Listing>;
 
 impl Tree {
-    /// True where relays stand between the leader and most instances.
+    /// Returns whether the number of instances requires relays.
     pub fn has_relays(&self, directory: &Directory) -> bool {
         directory.len() > self.direct
     }
 
-    /// The relays that `me` asks, the one to start with first. Empty where it asks the leader: in a small fleet, and at
-    /// a relay.
+    /// Returns the relays of `me` in order of preference; empty if it queries the leader, because there are no relays
+    /// or it is one.
     pub fn relays_for(&self, me: &Me, directory: &Directory) -> Vec<InstanceId> {
         if !self.has_relays(directory) {
             return Vec::new();
@@ -52,12 +51,12 @@
         if relays.contains(&me.name) {
             return Vec::new();
         }
-        // Each begins with another one, so that a hall's instances divide themselves among its relays.
+        // Ranking by the instance's own name spreads the instances of a hall over its relays.
         relays.sort_by_cached_key(|relay| Reverse(id::rendezvous(&me.name, relay)));
         relays
     }
 
-    /// The relays of `hall`.
+    /// Returns the relays of `hall`.
     fn relays_of(&self, hall: &str, directory: &Directory) -> Vec<InstanceId> {
         let here = directory.values().filter(|listing| *listing.hall == *hall && !listing.stopping);
         let mut ranked: Vec<InstanceId> = here.map(|listing| listing.name.clone()).collect();
--- a/crates/rudder-core/src/usage.rs
+++ b/crates/rudder-core/src/usage.rs
@@ -1,8 +1,8 @@
-//! Requests that began here, by organisation and window, on their way to the replicated log.
+//! Reports the requests started at this instance, by organisation and window, to the replicated log.
 //!
-//! Counts are told straight to the leader, one numbered message at a time: the next goes only when the log holds the one
-//! before, so none is lost or taken twice, whichever instance leads meanwhile. What a process that is killed had not
-//! told yet is lost with it: at most what began within two periods.
+//! Counts are sent directly to the leader in numbered updates. The next one is sent only after the last one is
+//! committed, so counts are neither lost nor duplicated when the leader changes. A process that is killed loses the
+//! counts that it had not reported, which are those of at most two send intervals.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -12,112 +12,116 @@
 
 use crate::{Effect, Me, PeerMessage, options::UsageOptions, view::View};
 
-/// Time between two messages in a small fleet. A process that is killed loses what it had not told: 3 in 100 of what it
-/// began in a window of five seconds on average.
-const PERIOD: Duration = Duration::from_millis(300);
-/// The same for each live instance, where that is more: the leader takes in 300 messages a second at most.
-const PERIOD_EACH: Duration = Duration::from_micros(3300);
-/// A message without an answer is sent again after this many periods.
-const RETRY: u32 = 2;
+/// Minimum interval between updates of one instance.
+const SEND_INTERVAL: Duration = Duration::from_millis(300);
+/// Interval between updates for each live instance, which limits the leader to about 300 updates per second.
+const SEND_INTERVAL_PER_INSTANCE: Duration = Duration::from_micros(3300);
+/// Number of intervals after which an unacknowledged update is sent again.
+const RETRY_INTERVALS: u32 = 2;
 
-/// Requests of one organisation.
+/// A request that started to run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StartedRequest {
     /// The organisation.
     pub org: OrgId,
-    /// When the request began to run, by this instance's own time.
+    /// Start of the request, in this instance's own time.
     pub at: Duration,
 }
 
-/// A message of counts to the leader.
+/// An update of request counts, sent to the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageUpdate {
-    /// The start of the sender.
+    /// Number of the sender's start.
     pub start: Start,
-    /// Counts the sender's messages that carry counts from 1; 0 in one that carries none.
+    /// Sequence number of the sender's updates that carry counts, starting at 1; 0 if this one carries none.
     pub sequence: u64,
-    /// With this message, all that began here in windows before this one has been told.
+    /// With this update, the sender has reported all requests started in windows before this one.
     pub before: Window,
-    /// The counts.
+    /// The request counts.
     pub counts: Vec<Count>,
 }
 
-/// The leader's word that the log holds a message's counts.
+/// Acknowledges that the counts of an update are committed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageAck {
-    /// The start of the message's sender.
+    /// Number of the start of the update's sender.
     pub start: Start,
-    /// Which message.
+    /// Sequence number of the update.
     pub sequence: u64,
-    /// What it said of windows.
+    /// The update's `before`.
     pub before: Window,
 }
 
+/// An update that has not been acknowledged.
 #[derive(Debug)]
-struct Carried {
-    news: UsageUpdate,
+struct InFlight {
+    update: UsageUpdate,
     to: InstanceId,
     sent: Duration,
 }
 
-/// The counts of this instance.
+/// Counts the requests started at this instance and reports them to the leader.
 #[derive(Debug, Default)]
 pub(crate) struct UsageReporter {
-    fresh: BTreeMap<(Window, OrgId), u64>,
-    carried: Option<Carried>,
+    /// Counts that have not been sent yet.
+    pending: BTreeMap<(Window, OrgId), u64>,
+    /// The update that waits for its acknowledgement.
+    in_flight: Option<InFlight>,
+    /// Number of updates with counts so far.
     sequence: u64,
-    /// Who leads, and which windows it knows to be complete here.
-    told: Option<(InstanceId, Window)>,
-    next: Duration,
+    /// The leader of the last acknowledgement, and the window before which all requests are reported to it.
+    acknowledged: Option<(InstanceId, Window)>,
+    /// Time before which no update is sent.
+    next_send: Duration,
 }
 
-/// Number of the window that a time of day falls into.
+/// Returns the number of the window that contains a time of day.
 pub fn window_of(time: Duration, length: Duration) -> Window {
     (time.as_micros() / length.as_micros().max(1)) as Window
 }
 
-/// Time of day at which a window ends.
+/// Returns the time of day at which a window ends.
 pub fn window_end(window: Window, length: Duration) -> Duration {
     Duration::from_micros(length.as_micros() as u64 * (window + 1))
 }
 
 impl UsageReporter {
-    /// Records requests that began here.
-    pub(crate) fn note(&mut self, begun: Vec<StartedRequest>, view: &View, usage: &UsageOptions) {
-        for StartedRequest { org, at } in begun {
+    /// Records requests started at this instance.
+    pub(crate) fn record(&mut self, requests: Vec<StartedRequest>, view: &View, usage: &UsageOptions) {
+        for StartedRequest { org, at } in requests {
             let window = window_of(view.clock.at(at), usage.window);
-            *self.fresh.entry((window, org)).or_default() += 1;
+            *self.pending.entry((window, org)).or_default() += 1;
         }
     }
 
-    /// Tells the leader what is new when it is time to.
+    /// Sends an update to the leader if one is due, or repeats the one in flight.
     pub(crate) fn tick(&mut self, now: Duration, me: &Me, view: &View, usage: &UsageOptions, out: &mut Vec<Effect>) {
         let (Some(time), Some(leader)) = (view.clock.agreed(now), view.leader()) else { return };
-        let period = PERIOD.max(PERIOD_EACH * view.directory.len() as u32);
-        if let Some(carried) = &mut self.carried {
-            if carried.to != *leader || now >= carried.sent + period * RETRY {
-                (carried.to, carried.sent) = (leader.clone(), now);
-                out.push(to_effect(carried));
+        let interval = SEND_INTERVAL.max(SEND_INTERVAL_PER_INSTANCE * view.directory.len() as u32);
+        if let Some(in_flight) = &mut self.in_flight {
+            if in_flight.to != *leader || now >= in_flight.sent + interval * RETRY_INTERVALS {
+                (in_flight.to, in_flight.sent) = (leader.clone(), now);
+                out.push(send_effect(in_flight));
             }
             return;
         }
-        if now < self.next {
+        if now < self.next_send {
             return;
         }
-        self.next = now + period;
+        self.next_send = now + interval;
         let before = window_of(time.saturating_sub(usage.settle), usage.window);
-        let known = self.told.as_ref().is_some_and(|(to, told)| to == leader && *told >= before);
-        if self.fresh.is_empty() && known {
+        let is_known = self.acknowledged.as_ref().is_some_and(|(to, until)| to == leader && *until >= before);
+        if self.pending.is_empty() && is_known {
             return;
         }
-        let carried = Carried { news: self.take_news(me, before), to: leader.clone(), sent: now };
-        out.push(to_effect(&carried));
-        self.carried = Some(carried);
+        let in_flight = InFlight { update: self.next_update(me, before), to: leader.clone(), sent: now };
+        out.push(send_effect(&in_flight));
+        self.in_flight = Some(in_flight);
     }
 
-    fn take_news(&mut self, me: &Me, before: Window) -> UsageUpdate {
-        let fresh = std::mem::take(&mut self.fresh).into_iter();
-        let counts: Vec<Count> = fresh.map(|((window, org), requests)| Count { window, org, requests }).collect();
+    fn next_update(&mut self, me: &Me, before: Window) -> UsageUpdate {
+        let pending = std::mem::take(&mut self.pending).into_iter();
+        let counts: Vec<Count> = pending.map(|((window, org), requests)| Count { window, org, requests }).collect();
         if counts.is_empty() {
             return UsageUpdate { start: me.start, sequence: 0, before, counts };
         }
@@ -125,25 +129,26 @@
         UsageUpdate { start: me.start, sequence: self.sequence, before, counts }
     }
 
-    /// Requests that the log does not hold yet, as far as is known here.
+    /// Returns the number of requests whose counts are not known to be committed.
     pub(crate) fn unreported_requests(&self) -> u64 {
-        let carried = self.carried.iter().flat_map(|carried| &carried.news.counts).map(|count| count.requests);
-        self.fresh.values().sum::<u64>() + carried.sum::<u64>()
+        let in_flight =
+            self.in_flight.iter().flat_map(|in_flight| &in_flight.update.counts).map(|count| count.requests);
+        self.pending.values().sum::<u64>() + in_flight.sum::<u64>()
     }
 
-    /// Records the leader's word on a message.
-    pub(crate) fn on_taken(&mut self, from: &InstanceId, taken: UsageAck) {
-        let answers = |carried: &Carried| {
-            carried.news.start == taken.start
-                && carried.news.sequence == taken.sequence
-                && carried.news.before == taken.before
+    /// Handles an acknowledgement.
+    pub(crate) fn on_ack(&mut self, from: &InstanceId, ack: UsageAck) {
+        let matches = |in_flight: &InFlight| {
+            in_flight.update.start == ack.start
+                && in_flight.update.sequence == ack.sequence
+                && in_flight.update.before == ack.before
         };
-        if self.carried.take_if(|carried| answers(carried)).is_some() {
-            self.told = Some((from.clone(), taken.before));
+        if self.in_flight.take_if(|in_flight| matches(in_flight)).is_some() {
+            self.acknowledged = Some((from.clone(), ack.before));
         }
     }
 }
 
-fn to_effect(carried: &Carried) -> Effect {
-    Effect::Send { to: carried.to.clone(), message: PeerMessage::Usage(Box::new(carried.news.clone())) }
+fn send_effect(in_flight: &InFlight) -> Effect {
+    Effect::Send { to: in_flight.to.clone(), message: PeerMessage::Usage(Box::new(in_flight.update.clone())) }
 }
--- a/crates/rudder-core/src/view.rs
+++ b/crates/rudder-core/src/view.rs
@@ -1,10 +1,10 @@
-//! The view: configuration and directory in force here, and proof of their freshness.
+//! The view: the configuration and directory in force at this instance, and the proof of their freshness.
 //!
-//! Every instance, the leader included, learns both by asking the leader, or a relay that asks it. A leader answers
-//! only while it holds its lease, so each answer proves that the configuration was complete at the time the
-//! question was *sent*: a paused leader or a late answer cannot make old configuration look fresh. A relay says how old
-//! its own proof was when it answered. It answered after the question was sent, so the time of the question less that
-//! age is a time at which the relay's proof held; a relay that is paused or cut off adds to the age or answers nothing.
+//! Every instance, the leader included, learns both through watch requests to the leader or to a relay. A leader
+//! replies only while it holds its lease, so a reply proves that the configuration was complete when the request was
+//! *sent*: a paused leader or a late reply cannot make old configuration look fresh. A relay reports the age of its own
+//! proof at the time of its reply. As the reply is later than the request, the proof held at the time of the request
+//! minus that age. A relay that is paused or partitioned reports a greater age or does not reply.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -19,212 +19,214 @@
 };
 
 use crate::{
-    Effect, Group, Listing, Me, Options, PeerMessage, Watch, Watched,
-    asking::{Asking, Target},
+    Effect, Listing, Me, Options, PeerMessage, RelayGroup, WatchReply, WatchRequest,
     clock::Clock,
     limits::{LimitReport, Limits, PeerSync},
     peer::{DirectoryNews, DocumentNews, Load},
     registry::{Change, Phase, Registration, Registry},
     subset::Scope,
     tree::Directory,
+    upstream::{Target, Upstream},
     watchers::{Source, Watchers},
 };
 
-/// Names of instances in one log line at most.
-const NAMED: usize = 4;
-/// Time between two exchanges of loads, for each of them: 10,000 entries of about ten bytes a second each way.
-const LOADS_EACH: Duration = Duration::from_micros(100);
-/// So many times that where relays stand between: a relay's link of 10 Mbit/s then spends less than a third on the loads of
-/// twenty that ask it.
-const RELAYED: u32 = 8;
-/// The longest such time: what was told counts for half a second longer.
-const LOADS_PAUSE_MOST: Duration = Duration::from_secs(1);
-/// Time between two looks for limits to forget.
-const AGE_LIMITS: Duration = Duration::from_secs(10);
-/// A relay whose answers prove the configuration no younger than this is passed over: it has lost touch.
-const RELAY_OLD: Duration = Duration::from_millis(1500);
-
-/// Configuration and directory in force here.
+/// Maximum number of instance names in one log event.
+const MAX_LOGGED_NAMES: usize = 4;
+/// Interval between load exchanges for each endpoint, which limits them to 10,000 entries per second in each direction.
+const LOAD_INTERVAL_PER_ENDPOINT: Duration = Duration::from_micros(100);
+/// Factor on that interval when there are relays, so that loads for 20 watchers fit a relay's link of 10 Mbit/s.
+const RELAY_LOAD_FACTOR: u32 = 8;
+/// Upper bound of the interval; must stay below the time for which reported loads are kept.
+const MAX_LOAD_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval between removals of rate limits of unknown endpoints.
+const LIMIT_PRUNE_INTERVAL: Duration = Duration::from_secs(10);
+/// A relay whose replies prove nothing more recent than this is skipped.
+const MAX_RELAY_PROOF_AGE: Duration = Duration::from_millis(1500);
+
+/// The configuration and directory in force at this instance.
 #[derive(Debug, Default)]
 pub struct View {
     /// The configuration.
     pub config: Config,
-    /// Key digests with the organisations that hold them, so that a call does not look through all.
+    /// Index from key digests to organisations.
     keys: BTreeSet<(String, OrgId)>,
     /// Live instances, by name.
     pub directory: Directory,
+    /// Time as of which the configuration is proved to be complete.
     proved: Option<Duration>,
-    /// When the latest question was sent that was answered.
-    answered: Option<Duration>,
-    pub(crate) asking: Asking,
+    /// Sending time of the latest request that was answered.
+    last_answered: Option<Duration>,
+    pub(crate) upstream: Upstream,
     was_fresh: bool,
-    /// The configuration document in force here.
+    /// The configuration document in force.
     pub document: Option<Document>,
-    /// A patch did not fit, so the whole document is asked for.
-    whole: bool,
+    /// A patch did not apply, so the next request asks for the complete document.
+    needs_whole_document: bool,
     /// Endpoints that registered themselves.
     pub registry: Registry,
-    /// Contents under which endpoints ended.
+    /// Quarantined contents: those being processed when endpoints failed.
     pub quarantine: Arc<Quarantine>,
-    /// Halls whose endpoints get nothing.
+    /// Halls whose endpoints receive no requests.
     pub evacuations: Arc<Evacuations>,
-    /// Work of all other instances at endpoints, as of the question that proves the configuration.
+    /// Loads of all other instances.
     pub remote_loads: Vec<Load>,
-    /// Counts the changes of what traffic needs: directory, document, registry.
+    /// Incremented on every change of the directory, document, registry, quarantine or evacuations.
     pub revision: u64,
-    /// Counts the changes of the others' work.
+    /// Incremented on every change of `remote_loads`.
     pub load_revision: u64,
+    /// Heartbeats received here that the leader has not confirmed.
     unconfirmed: BTreeMap<EndpointId, Unconfirmed>,
-    /// Counts the heartbeats heard here.
-    heard: u64,
-    loads: Vec<Load>,
-    /// When they were told last.
-    loads_told: Option<Duration>,
-    /// Rate limits that endpoints name.
+    /// Number of heartbeats received here.
+    heartbeat_count: u64,
+    /// Loads of this instance.
+    own_loads: Vec<Load>,
+    /// Time of their last report.
+    loads_sent_at: Option<Duration>,
+    /// Rate limits reported by endpoints.
     pub limits: Limits,
-    /// What of them was told.
-    limits_told: PeerSync,
-    /// When they were last looked through for those to forget.
-    limits_aged: Duration,
-    /// When the others' work was as it is known here.
+    /// Rate limits already reported upstream.
+    limits_sent: PeerSync,
+    /// Time of the last removal of rate limits.
+    limits_pruned_at: Duration,
+    /// Time as of which `remote_loads` holds.
     remote_loads_at: Option<Duration>,
-    /// The time of day.
+    /// The agreed time of day.
     pub clock: Clock,
 }
 
-/// What an answer brought.
+/// The effect of a watch reply.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Learned {
-    /// Configuration or directory changed.
+pub(crate) struct Changes {
+    /// The configuration or directory changed.
     pub changed: bool,
-    /// Something that those who ask here should know at once.
+    /// The change must be passed on to watchers immediately.
     pub urgent: bool,
 }
 
-/// A heartbeat heard here that the leader has not confirmed.
+/// A heartbeat received here that the leader has not confirmed.
 #[derive(Debug)]
 struct Unconfirmed {
     registration: Registration,
-    /// First round that carried it.
+    /// The first request that carried it.
     round: Option<u64>,
-    /// Place among all that was heard here: of two lives of one name the later is mostly heard later.
-    place: u64,
+    /// Order of arrival, which usually tells apart two lives of one name.
+    order: u64,
 }
 
 impl View {
-    /// True while the configuration is proved to be at most `bound` old.
+    /// Returns whether the configuration is proved to be at most `bound` old.
     pub fn is_fresh(&self, now: Duration, bound: Duration) -> bool {
         self.proved.is_some_and(|proved| now < proved + bound)
     }
 
-    /// True while the others list this instance as live: they do for at least `gone` after each question of it that was answered.
-    pub(crate) fn is_listed(&self, now: Duration, gone: Duration) -> bool {
-        self.answered.is_some_and(|answered| now < answered + gone)
+    /// Returns whether other instances still list this one as live, which they do for at least `timeout` after each of
+    /// its requests that was answered.
+    pub(crate) fn is_listed(&self, now: Duration, timeout: Duration) -> bool {
+        self.last_answered.is_some_and(|answered| now < answered + timeout)
     }
 
-    /// Where to send what only the leader can answer.
+    /// Returns the target of messages that only the leader can answer.
     pub fn to_leader(&self) -> Option<InstanceId> {
-        self.leader().cloned().or_else(|| self.asking.seat_of(&self.to_seats()))
+        self.leader().cloned().or_else(|| self.upstream.pick_candidate(&self.leader_candidates()))
     }
 
-    /// Who leads, as far as is known here.
+    /// Returns the leader, if known.
     pub fn leader(&self) -> Option<&InstanceId> {
-        self.asking.leader()
+        self.upstream.leader()
     }
 
-    /// When the question was sent whose answer proves the configuration.
+    /// Returns the time as of which the configuration is proved to be complete.
     pub fn proved(&self) -> Option<Duration> {
         self.proved
     }
 
-    /// Sets where to start from: the instances that the settings name.
+    /// Sets the instances named in the settings as first contacts.
     pub fn set_seeds(&mut self, seeds: Vec<InstanceId>) {
-        self.asking.seeds = seeds;
+        self.upstream.seeds = seeds;
     }
 
-    /// The instances that the settings name.
+    /// Returns the instances named in the settings as first contacts.
     pub(crate) fn seeds(&self) -> &[InstanceId] {
-        &self.asking.seeds
+        &self.upstream.seeds
     }
 
-    /// Instances that may know the leader: those of the settings, then those known to have a disk.
-    fn to_seats(&self) -> Vec<InstanceId> {
-        let mut seats = self.asking.seeds.clone();
+    /// Returns the instances that may know the leader: the seeds, then those known to have a disk.
+    fn leader_candidates(&self) -> Vec<InstanceId> {
+        let mut candidates = self.upstream.seeds.clone();
         for listing in self.directory.values().filter(|listing| listing.replica.is_some()) {
-            if !seats.contains(&listing.name) {
-                seats.push(listing.name.clone());
+            if !candidates.contains(&listing.name) {
+                candidates.push(listing.name.clone());
             }
         }
-        seats
+        candidates
     }
 
-    /// Records an endpoint's heartbeat heard here or by an instance that asks here.
-    pub(crate) fn hear(&mut self, now: Duration, registration: Registration) {
+    /// Records a heartbeat received by this instance or by one of its watchers.
+    pub(crate) fn record_heartbeat(&mut self, now: Duration, registration: Registration) {
         let change = self.registry.record_heartbeat(now, &registration);
         if change != Change::None {
             self.revision += 1;
-            self.asking.ask_soon();
+            self.upstream.request_soon();
         }
-        self.heard += 1;
-        let unconfirmed = Unconfirmed { registration, round: None, place: self.heard };
+        self.heartbeat_count += 1;
+        let unconfirmed = Unconfirmed { registration, round: None, order: self.heartbeat_count };
         self.unconfirmed.insert(unconfirmed.registration.endpoint.clone(), unconfirmed);
     }
 
-    /// True once the leader has confirmed all that was heard here of `endpoint`.
+    /// Returns whether the leader has confirmed all heartbeats of `endpoint` received here.
     pub(crate) fn is_confirmed(&self, endpoint: &EndpointId) -> bool {
         !self.unconfirmed.contains_key(endpoint)
     }
 
-    /// When the others' work was as it is known here.
+    /// Returns the time as of which the loads of other instances hold.
     pub fn remote_loads_at(&self) -> Option<Duration> {
         self.remote_loads_at
     }
 
-    /// True where it is time to exchange loads: the more there are, the less often, so that a link carries as much of them
-    /// in a second whatever the number of endpoints.
-    fn are_loads_due(&self, now: Duration, options: &Options) -> bool {
-        let factor = if options.tree.has_relays(&self.directory) { RELAYED } else { 1 };
-        let pause = (LOADS_EACH * factor * self.remote_loads.len() as u32).min(LOADS_PAUSE_MOST);
-        self.loads_told.is_none_or(|told| now >= told + pause)
+    /// Returns whether a load exchange is due. The interval grows with the number of loads, which bounds the bandwidth.
+    fn is_load_exchange_due(&self, now: Duration, options: &Options) -> bool {
+        let factor = if options.tree.has_relays(&self.directory) { RELAY_LOAD_FACTOR } else { 1 };
+        let interval = (LOAD_INTERVAL_PER_ENDPOINT * factor * self.remote_loads.len() as u32).min(MAX_LOAD_INTERVAL);
+        self.loads_sent_at.is_none_or(|sent| now >= sent + interval)
     }
 
-    /// Sets the work under way here.
+    /// Sets the loads of this instance.
     pub(crate) fn set_loads(&mut self, loads: Vec<Load>) {
-        self.loads = loads;
+        self.own_loads = loads;
     }
 
-    /// Records what endpoints said of their rate limits to one that asks here.
+    /// Records rate limits that endpoints reported to a watcher.
     pub(crate) fn record_limits(&mut self, now: Duration, reports: &[LimitReport]) {
         for report in reports {
             self.limits.record_own(now, *report);
         }
     }
 
-    /// Forgets the limits of endpoints that are gone; looks through all endpoints, so seldom.
-    pub(crate) fn age_limits(&mut self, now: Duration) {
-        if self.limits.is_empty() || now < self.limits_aged + AGE_LIMITS {
+    /// Drops rate limits of endpoints that are no longer registered, at most once per [`LIMIT_PRUNE_INTERVAL`].
+    pub(crate) fn prune_limits(&mut self, now: Duration) {
+        if self.limits.is_empty() || now < self.limits_pruned_at + LIMIT_PRUNE_INTERVAL {
             return;
         }
-        self.limits_aged = now;
+        self.limits_pruned_at = now;
         let known: BTreeSet<EndpointTag> = self.registry.iter().map(|held| id::endpoint_tag(&held.endpoint)).collect();
         self.limits.expire(now, |endpoint| known.contains(&endpoint));
     }
 
-    /// The instance that decides for the pool of `model` in `hall`: by rendezvous hashing over the
-    /// live instances of the hall, or of all halls where the hall has none.
+    /// Returns the instance that schedules the pool of `model` in `hall`, chosen by rendezvous hashing over the live
+    /// instances of the hall, or of all halls if it has none.
     pub fn home(&self, hall: &HallId, model: &str) -> Option<InstanceId> {
         let live = self.directory.values().filter(|listing| !listing.stopping && !self.is_marked(&listing.name));
         let key = format!("{hall}/{model}");
-        let weigh = |listing: &&Listing| (listing.hall == *hall, id::rendezvous(&key, &listing.name));
-        live.max_by_key(weigh).map(|listing| listing.name.clone())
+        let rank = |listing: &&Listing| (listing.hall == *hall, id::rendezvous(&key, &listing.name));
+        live.max_by_key(rank).map(|listing| listing.name.clone())
     }
 
-    /// The operator's mark takes an instance out of use.
+    /// Returns whether an operator's mark takes the instance out of use.
     pub fn is_marked(&self, name: &str) -> bool {
         self.mark_of(name) != Mark::None
     }
 
-    /// The operator's mark on an instance.
+    /// Returns the operator's mark on an instance.
     pub fn mark_of(&self, name: &str) -> Mark {
         match self.config.get(Kind::Instance, name).and_then(|held| held.object.as_ref()) {
             Some(Object::Instance(instance)) => instance.mark,
@@ -232,22 +234,22 @@
         }
     }
 
-    /// True while an endpoint of the configuration may get new work: it is not marked, and its hall not evacuated.
+    /// Returns whether a configured endpoint may receive new work: it is not marked and its hall is not evacuated.
     pub fn is_usable(&self, endpoint: &Endpoint) -> bool {
         endpoint.mark == Mark::None && !self.evacuations.is_evacuated(&endpoint.hall)
     }
 
-    /// True when the start that a request id names is still alive in `name`.
+    /// Returns whether `name` is live and still in its start number `start`.
     pub fn is_alive(&self, name: &str, start: u64) -> bool {
         self.directory.get(name).is_some_and(|listing| listing.start == start)
     }
 
-    /// True when the entry that a request came from is still alive.
+    /// Returns whether the entry that accepted a request is still alive in the same start.
     pub fn is_entry_alive(&self, entry: &str, request: RequestId) -> bool {
         self.is_alive(entry, id::start_of(request))
     }
 
-    /// Entries for callers: nearest hall first, without those leaving or stopping and those that take no callers.
+    /// Returns the entries for callers, nearest hall first, without marked or stopping ones.
     pub fn to_entries(&self, nearest: &[HallId]) -> Vec<Listing> {
         let takes = |listing: &&Listing| listing.takes_callers() && !self.is_marked(&listing.name);
         let mut entries: Vec<Listing> = self.directory.values().filter(takes).cloned().collect();
@@ -256,8 +258,8 @@
         entries
     }
 
-    /// Asks for newer configuration when it is time to; `watchers` are those who ask here.
-    pub(crate) fn ask(
+    /// Sends a watch request if one is due.
+    pub(crate) fn send_watch_request(
         &mut self,
         now: Duration,
         me: &Me,
@@ -267,12 +269,12 @@
         out: &mut Vec<Effect>,
     ) {
         self.log_freshness(now, options.freshness_bound, out);
-        if !self.asking.is_due(now, options) {
+        if !self.upstream.is_due(now, options) {
             return;
         }
         let leaves = self.unconfirmed.values().any(|held| held.registration.phase >= Phase::Leaving);
         let leader = self.to_leader();
-        let (target, to) = self.asking.begin(now, me, leaves, leader);
+        let (target, to) = self.upstream.begin_round(now, me, leaves, leader);
         let Some(to) = to else { return };
         let listing = Listing {
             name: me.name.clone(),
@@ -282,76 +284,79 @@
             stopping,
             replica,
         };
-        let heard = self.carry_unconfirmed();
-        let with_loads = target != Target::PastRelay && self.are_loads_due(now, options);
+        let heartbeats = self.attach_unconfirmed();
+        let with_loads = target != Target::BypassRelay && self.is_load_exchange_due(now, options);
         if with_loads {
-            self.loads_told = Some(now);
+            self.loads_sent_at = Some(now);
         }
-        let limits = if with_loads { self.limits.own_changes(now, &mut self.limits_told) } else { Vec::new() };
-        let watch = Watch {
-            round: self.asking.round(),
+        let limits = if with_loads { self.limits.own_changes(now, &mut self.limits_sent) } else { Vec::new() };
+        let request = WatchRequest {
+            round: self.upstream.round(),
             listing,
             index: self.config.index,
             directory: self.directory.version(),
-            document: self.document.as_ref().filter(|_| !self.whole).map_or(0, |document| document.version),
+            document: self
+                .document
+                .as_ref()
+                .filter(|_| !self.needs_whole_document)
+                .map_or(0, |document| document.version),
             registry: self.registry.version(),
             quarantine: self.quarantine.index(),
             evacuations: self.evacuations.index(),
-            heard,
-            loads: with_loads.then(|| watchers.join_loads(&self.loads)),
+            heartbeats,
+            loads: with_loads.then(|| watchers.total_loads(&self.own_loads)),
             limits,
             group: self.to_group(watchers, options),
-            clock: self.clock.to_reading(now),
+            clock: self.clock.reading(now),
         };
-        out.push(Effect::Send { to, message: PeerMessage::Watch(Box::new(watch)) });
+        out.push(Effect::Send { to, message: PeerMessage::WatchRequest(Box::new(request)) });
     }
 
-    /// Those who ask here, for the leader; a relay's asker is told by the relay alone.
-    fn to_group(&self, watchers: &Watchers, options: &Options) -> Option<Group> {
-        self.is_relay(options).then(|| watchers.to_group(self.asking.group())).flatten()
+    /// Returns the watchers to report to the leader, if this instance is a relay.
+    fn to_group(&self, watchers: &Watchers, options: &Options) -> Option<RelayGroup> {
+        self.is_relay(options).then(|| watchers.to_group(self.upstream.group())).flatten()
     }
 
-    /// The relays that this instance asks; none where it asks the leader.
+    /// Returns the relays of this instance; empty if it queries the leader.
     pub fn relays(&self) -> &[InstanceId] {
-        self.asking.relays()
+        self.upstream.relays()
     }
 
-    /// True where this instance asks the leader itself and so may answer others.
+    /// Returns whether this instance queries the leader itself and so may act as a relay.
     fn is_relay(&self, options: &Options) -> bool {
         self.relays().is_empty() && options.tree.has_relays(&self.directory)
     }
 
-    /// What a relay answers from; `None` at an instance that is none, or that has no fresh proof.
-    pub(crate) fn to_source(&self, now: Duration, options: &Options) -> Option<Source<'_>> {
+    /// Returns the state that a relay replies from; `None` if this instance is no relay or has no fresh proof.
+    pub(crate) fn relay_source(&self, now: Duration, options: &Options) -> Option<Source<'_>> {
         let proved = self.proved.filter(|proved| self.is_relay(options) && now < *proved + options.freshness_bound)?;
         Some(Source {
-            leader: self.asking.last_leader()?,
+            leader: self.upstream.last_leader()?,
             age: now.saturating_sub(proved),
             config: &self.config,
             directory: &self.directory,
             document: self.document.as_ref(),
             registry: &self.registry,
             scope: self.registry.scope().cloned(),
-            whole: false,
-            tags: None,
+            unscoped: false,
+            load_tags: None,
             quarantine: &self.quarantine,
             evacuations: &self.evacuations,
-            others: &self.remote_loads,
+            remote_loads: &self.remote_loads,
             limits: &self.limits,
             time: self.clock.agreed(now),
         })
     }
 
-    /// Heartbeats for the next question, as they were heard one after the other; the question is noted for each as the first
-    /// that carries it.
-    fn carry_unconfirmed(&mut self) -> Vec<Registration> {
-        let round = self.asking.round();
-        let mut heard: Vec<&mut Unconfirmed> = self.unconfirmed.values_mut().collect();
-        heard.sort_by_key(|unconfirmed| unconfirmed.place);
-        for unconfirmed in &mut heard {
+    /// Returns the unconfirmed heartbeats in order of arrival and records the current request as carrying them.
+    fn attach_unconfirmed(&mut self) -> Vec<Registration> {
+        let round = self.upstream.round();
+        let mut pending: Vec<&mut Unconfirmed> = self.unconfirmed.values_mut().collect();
+        pending.sort_by_key(|unconfirmed| unconfirmed.order);
+        for unconfirmed in &mut pending {
             unconfirmed.round.get_or_insert(round);
         }
-        heard.into_iter().map(|unconfirmed| unconfirmed.registration.clone()).collect()
+        pending.into_iter().map(|unconfirmed| unconfirmed.registration.clone()).collect()
     }
 
     fn log_freshness(&mut self, now: Duration, bound: Duration, out: &mut Vec<Effect>) {
@@ -362,78 +367,77 @@
         }
     }
 
-    /// Handles an answer.
-    pub(crate) fn on_watched(
+    /// Handles a watch reply.
+    pub(crate) fn on_watch_reply(
         &mut self,
         now: Duration,
         from: &InstanceId,
-        watched: Watched,
+        reply: WatchReply,
         promises: &mut Promises,
         (me, options): (&Me, &Options),
         out: &mut Vec<Effect>,
-    ) -> Learned {
-        let Some(sent) = self.asking.sent(watched.round) else { return Learned::default() };
-        self.answered = self.answered.max(Some(sent.at));
-        let held = watched.index >= watched.asked;
+    ) -> Changes {
+        let Some(request) = self.upstream.sent(reply.round) else { return Changes::default() };
+        self.last_answered = self.last_answered.max(Some(request.at));
+        let held = reply.index >= reply.requested_index;
         assert!(promises.check(Promise::NoRevert, held), "{from} answered with an older configuration");
         let before = self.config.index;
         let mut changed = false;
-        for delta in watched.deltas {
-            changed |= self.take_delta(delta);
+        for delta in reply.deltas {
+            changed |= self.apply_delta(delta);
         }
         assert!(self.config.index >= before, "the configuration index went back");
         if changed {
             out.push(Effect::Log(What::Configured { index: self.config.index }));
         }
-        let mut urgent = self.take_document(watched.document, promises, out);
-        urgent |= self.take_quarantine(watched.quarantine);
-        let moved = self.take_evacuations(watched.evacuations, out);
+        let mut urgent = self.apply_document(reply.document, promises, out);
+        urgent |= self.apply_quarantine(reply.quarantine);
+        let moved = self.apply_evacuations(reply.evacuations, out);
         (changed, urgent) = (changed || moved, urgent || moved);
-        self.confirm(watched.round, *from == watched.leader);
+        self.confirm(reply.round, *from == reply.leader);
         let held = self.document.as_ref().map_or(0, |document| document.version);
-        // Time counts from the start of this process; a proof from before that cannot be told, and is none.
-        let age = watched.age;
-        let proof = sent.at.checked_sub(age);
-        if watched.complete && held >= watched.newest && !watched.pending {
+        // Time counts from the start of this process, so an earlier proof has no representation and is discarded.
+        let age = reply.age;
+        let proof = request.at.checked_sub(age);
+        if reply.complete && held >= reply.latest_document && !reply.pending {
             self.proved = self.proved.max(proof);
         }
-        if !watched.complete {
-            self.asking.ask_soon();
+        if !reply.complete {
+            self.upstream.request_soon();
         }
-        if let Some(time) = watched.time {
-            self.clock.learn(now, sent.at, time);
+        if let Some(time) = reply.time {
+            self.clock.learn(now, request.at, time);
         }
-        let from_leader = *from == watched.leader;
-        if !self.asking.note_answer(watched.round, from, watched.leader, watched.group) {
-            return Learned { changed, urgent };
+        let from_leader = *from == reply.leader;
+        if !self.upstream.on_reply(reply.round, from, reply.leader, reply.group) {
+            return Changes { changed, urgent };
         }
-        if !from_leader && now.saturating_sub(sent.at) + age >= RELAY_OLD {
-            self.asking.pass_over_relay();
+        if !from_leader && now.saturating_sub(request.at) + age >= MAX_RELAY_PROOF_AGE {
+            self.upstream.skip_relay();
         }
-        if let Some(news) = watched.registry {
-            // Most versions of a large registry are about endpoints that are not told here.
+        if let Some(news) = reply.registry {
+            // In a large registry most new versions concern endpoints outside this hall's scope.
             self.revision += u64::from(news.has_changes());
             urgent |= self.registry.apply_delta(now, news);
         }
-        self.take_scope((me, options), watched.scope, out);
-        if let Some(loads) = watched.loads.filter(|_| sent.target != Target::PastRelay) {
+        self.apply_scope((me, options), reply.scope, out);
+        if let Some(loads) = reply.loads.filter(|_| request.target != Target::BypassRelay) {
             self.remote_loads_at = proof.or(self.remote_loads_at);
             if self.remote_loads != loads {
                 self.load_revision += 1;
                 self.remote_loads = loads;
             }
         }
-        for report in watched.limits {
+        for report in reply.limits {
             self.limits.record_received(now, report);
         }
-        if let Some(news) = watched.directory {
-            changed |= self.take_directory((me, options), news, out);
+        if let Some(news) = reply.directory {
+            changed |= self.apply_directory((me, options), news, out);
         }
-        Learned { changed, urgent }
+        Changes { changed, urgent }
     }
 
-    /// Records that an answer confirms what the question of `round` carried; only the leader confirms that an endpoint
-    /// takes no more work.
+    /// Removes heartbeats confirmed by a reply to the request of `round`. Only the leader can confirm a departure.
     fn confirm(&mut self, round: u64, by_leader: bool) {
         self.unconfirmed.retain(|_, held| {
             let carried = held.round.is_some_and(|first| first <= round);
@@ -441,8 +445,8 @@
         });
     }
 
-    /// Applies a document that is above the one in force; the version here only grows.
-    fn take_document(
+    /// Applies a document with a higher version than the one in force. Returns whether it was applied.
+    fn apply_document(
         &mut self,
         document: Option<DocumentNews>,
         promises: &mut Promises,
@@ -451,14 +455,14 @@
         let Some(news) = document else { return false };
         let held = self.document.as_ref().map_or(0, |held| held.version);
         let Some(document) = news.to_document(self.document.as_ref()) else {
-            // A patch for the version held before, which came late, or for other content under the same version.
-            self.whole = true;
+            // A late patch of an earlier version, or one of different content under the same version.
+            self.needs_whole_document = true;
             out.push(Effect::Log(What::PatchUnfit { held }));
             return false;
         };
-        self.whole = false;
+        self.needs_whole_document = false;
         if document.version <= held {
-            // An answer to an older question that came late.
+            // A late reply to an earlier request.
             return false;
         }
         promises.check(Promise::NoRevert, document.version > held);
@@ -468,54 +472,54 @@
         true
     }
 
-    /// Records which contents are refused; an answer that came late tells nothing newer.
-    fn take_quarantine(&mut self, news: Option<QuarantineNews>) -> bool {
+    /// Applies a newer quarantine state. Returns whether it was newer.
+    fn apply_quarantine(&mut self, news: Option<QuarantineNews>) -> bool {
         let Some(news) = news else { return false };
-        let taken = Arc::make_mut(&mut self.quarantine).take(news);
-        self.revision += u64::from(taken);
-        taken
+        let applied = Arc::make_mut(&mut self.quarantine).take(news);
+        self.revision += u64::from(applied);
+        applied
     }
 
-    /// Records which halls are evacuated; an answer that came late tells nothing newer.
-    fn take_evacuations(&mut self, news: Option<Evacuations>, out: &mut Vec<Effect>) -> bool {
+    /// Applies a newer evacuation state. Returns whether it was newer.
+    fn apply_evacuations(&mut self, news: Option<Evacuations>, out: &mut Vec<Effect>) -> bool {
         let Some(news) = news else { return false };
-        let taken = Arc::make_mut(&mut self.evacuations).take(news);
-        if taken {
+        let applied = Arc::make_mut(&mut self.evacuations).take(news);
+        if applied {
             self.revision += 1;
             let halls = self.evacuations.evacuated().cloned().collect();
             out.push(Effect::Log(What::Evacuations { index: self.evacuations.index(), halls }));
         }
-        taken
+        applied
     }
 
-    fn take_delta(&mut self, delta: Delta) -> bool {
+    fn apply_delta(&mut self, delta: Delta) -> bool {
         let (kind, name) = (delta.kind, delta.name.clone());
-        let before = self.keys_of(kind, &name);
+        let before = self.org_keys(kind, &name);
         if !self.config.take_delta(delta) {
             return false;
         }
         for entry in before {
             self.keys.remove(&entry);
         }
-        let now = self.keys_of(kind, &name);
+        let now = self.org_keys(kind, &name);
         self.keys.extend(now);
         true
     }
 
-    fn keys_of(&self, kind: Kind, name: &str) -> Vec<(String, OrgId)> {
+    fn org_keys(&self, kind: Kind, name: &str) -> Vec<(String, OrgId)> {
         match self.config.get(kind, name).and_then(|held| held.object.as_ref()) {
             Some(Object::Organisation(org)) => org.keys.iter().map(|key| (key.clone(), name.into())).collect(),
             _ => Vec::new(),
         }
     }
 
-    /// The organisation that has this key digest, in hexadecimal; the first by name if several do.
+    /// Returns the organisation with this hexadecimal key digest; the first by name if there are several.
     pub fn org_of_key(&self, bearer: &str) -> Option<OrgId> {
         let (key, org) = self.keys.range((bearer.to_owned(), OrgId::from(""))..).next()?;
         (key == bearer).then(|| org.clone())
     }
 
-    fn take_directory(&mut self, (me, options): (&Me, &Options), news: DirectoryNews, out: &mut Vec<Effect>) -> bool {
+    fn apply_directory(&mut self, (me, options): (&Me, &Options), news: DirectoryNews, out: &mut Vec<Effect>) -> bool {
         let before: BTreeSet<InstanceId> = self.directory.keys().cloned().collect();
         let touched = news.whole || !news.entries.is_empty() || !news.removed.is_empty();
         if !self.directory.apply(news, |_, _| true, |_, _| false) || !touched {
@@ -523,8 +527,8 @@
         }
         let now: BTreeSet<InstanceId> = self.directory.keys().cloned().collect();
         if before != now {
-            let few = |names: BTreeSet<InstanceId>| names.into_iter().take(NAMED).collect();
-            let (came, went) = (few(&now - &before), few(&before - &now));
+            let truncate = |names: BTreeSet<InstanceId>| names.into_iter().take(MAX_LOGGED_NAMES).collect();
+            let (came, went) = (truncate(&now - &before), truncate(&before - &now));
             out.push(Effect::Log(What::Directory { live: now.len(), came, went }));
         }
         self.choose_relays((me, options), out);
@@ -532,8 +536,8 @@
         true
     }
 
-    /// Records what of the registry is not told here.
-    fn take_scope(&mut self, (me, options): (&Me, &Options), scope: Option<Scope>, out: &mut Vec<Effect>) {
+    /// Sets the scope of the registry that this instance receives.
+    fn apply_scope(&mut self, (me, options): (&Me, &Options), scope: Option<Scope>, out: &mut Vec<Effect>) {
         if self.registry.scope() == scope.as_ref() {
             return;
         }
@@ -542,11 +546,11 @@
         self.revision += 1;
     }
 
-    /// Works out whom to ask. Relays know no more of the registry than their hall is told, so who may lead next asks the leader.
+    /// Updates the relays of this instance. One that may become leader needs the full registry and queries the leader.
     fn choose_relays(&mut self, (me, options): (&Me, &Options), out: &mut Vec<Effect>) {
         let for_all = self.registry.asks_for_all();
         let relays = if for_all { Vec::new() } else { options.tree.relays_for(me, &self.directory) };
-        if self.asking.set_relays(relays.clone()) {
+        if self.upstream.set_relays(relays.clone()) {
             out.push(Effect::Log(What::Parent { relays }));
         }
     }
--- a/crates/rudder-core/src/watchers.rs
+++ b/crates/rudder-core/src/watchers.rs
@@ -1,5 +1,5 @@
-//! Those who ask this instance for news, at the leader and at relays alike: who they are, the work they tell, and what
-//! they have been sent.
+//! Watchers: the instances that send watch requests to this one, which is the leader or a relay. Tracks their listings,
+//! the loads that they report and what they have been sent.
 
 use std::{
     collections::{BTreeMap, HashSet},
@@ -11,7 +11,7 @@
 use rudder_model::{EndpointTag, InstanceId};
 
 use crate::{
-    Effect, Group, Listing, PeerMessage, Registry, Watch, Watched,
+    Effect, Listing, PeerMessage, Registry, RelayGroup, WatchReply, WatchRequest,
     delta_map::Version,
     document_history::DocumentHistory,
     limits::{LimitReport, Limits, PeerSync},
@@ -22,33 +22,32 @@
     tree::Directory,
 };
 
-/// Deltas in one answer.
-const DELTAS: usize = 200;
-/// Time between two rounds of notices: what comes in between is told in one.
-const NOTIFY_PAUSE: Duration = Duration::from_millis(50);
+/// Maximum number of configuration deltas in one reply.
+const MAX_DELTAS: usize = 200;
+/// Minimum interval between notifications; updates in between share one.
+const NOTIFY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What an asker lacks is not sent to it again within this time: it is on its way, and in a start of many
-/// instances the copies would hold up each other.
-const RESEND: Duration = Duration::from_millis(400);
+/// Time for which an update counts as in flight and is not sent again to the same watcher.
+const RESEND_INTERVAL: Duration = Duration::from_millis(400);
 
-/// One that asks.
+/// An instance that sends watch requests to this one.
 #[derive(Clone, Debug)]
 struct Watcher {
     listing: Listing,
-    seen: Duration,
-    /// The document it was sent last, and when.
+    last_seen: Duration,
+    /// Version of the document last sent to it, and the time.
     document: u64,
     document_at: Duration,
-    /// What it held of directory and registry when it was sent more of them, and when.
+    /// Last updates of the directory and the registry sent to it.
     directory: Sent,
     registry: Sent,
-    /// What of the limits it was told.
+    /// Rate limits already sent to it.
     limits: PeerSync,
-    /// Those who ask it, and the version of that list.
+    /// Its own watchers and the version of that list, if it is a relay.
     group: Option<(u64, Vec<Listing>)>,
 }
 
-/// What was sent to one that held this version.
+/// The last update sent to a watcher, and the version that the watcher held at that time.
 #[derive(Clone, Copy, Debug, Default)]
 struct Sent {
     held: Version,
@@ -56,100 +55,100 @@
 }
 
 impl Sent {
-    /// True where the holder of `held` may be sent what it lacks: nothing that it still lacks is on its way.
+    /// Returns whether a watcher that holds `held` may be sent an update: none from that version is in flight.
     fn may_send(&self, now: Duration, held: Version) -> bool {
-        held != self.held || self.at.is_none_or(|at| now >= at + RESEND)
+        held != self.held || self.at.is_none_or(|at| now >= at + RESEND_INTERVAL)
     }
 }
 
-/// All that ask.
+/// The watchers of this instance.
 #[derive(Debug, Default)]
 pub struct Watchers {
-    asking: BTreeMap<InstanceId, Watcher>,
+    instances: BTreeMap<InstanceId, Watcher>,
     loads: Loads,
-    /// Changes with the members or with what they are.
+    /// Changes whenever a watcher is added, removed or modified.
     version: u64,
-    /// Documents that askers may still hold.
+    /// Older documents that watchers may still hold.
     past: DocumentHistory,
-    notified: Option<Duration>,
-    /// News has come since the last notice.
-    news: bool,
+    notified_at: Option<Duration>,
+    /// An update arrived after the last notification.
+    update_pending: bool,
 }
 
-/// What answers are made from: the leader's own state, or a relay's copy of it.
+/// The state that replies are made from: the leader's own, or a relay's copy.
 #[derive(Clone, Debug)]
 pub struct Source<'a> {
-    /// Who leads.
+    /// The leader.
     pub leader: &'a InstanceId,
-    /// How old the proof is that the rest is the newest.
+    /// Age of the proof that this state is current.
     pub age: Duration,
-    /// The objects.
+    /// The configuration objects.
     pub config: &'a Config,
-    /// Live instances.
+    /// The directory of live instances.
     pub directory: &'a Directory,
     /// The configuration document.
     pub document: Option<&'a Document>,
-    /// Endpoints.
+    /// The registry of endpoints.
     pub registry: &'a Registry,
-    /// What of them the asker's hall is not told of.
+    /// The part of the registry that is withheld from the watcher's hall.
     pub scope: Option<Scope>,
-    /// The asker is told everything all the same.
-    pub whole: bool,
-    /// The endpoints whose loads the asker is told; all where there are none.
-    pub tags: Option<Arc<HashSet<EndpointTag>>>,
-    /// Contents under which endpoints ended.
+    /// The watcher receives the complete registry regardless of the scope.
+    pub unscoped: bool,
+    /// Endpoints whose loads and rate limits are sent; `None` for all.
+    pub load_tags: Option<Arc<HashSet<EndpointTag>>>,
+    /// Quarantined contents.
     pub quarantine: &'a Quarantine,
-    /// Halls whose endpoints get nothing.
+    /// Halls whose endpoints receive no requests.
     pub evacuations: &'a Evacuations,
-    /// Work of instances that neither ask here nor ask those who do.
-    pub others: &'a [Load],
-    /// Rate limits that endpoints name.
+    /// Loads of instances that are neither watchers nor watchers of watchers.
+    pub remote_loads: &'a [Load],
+    /// Rate limits reported by endpoints.
     pub limits: &'a Limits,
-    /// The agreed time of day, where it is known.
+    /// The agreed time of day, if known.
     pub time: Option<Duration>,
 }
 
 impl Watchers {
-    /// Answers a question; who asks has been noted.
-    pub fn answer(&mut self, now: Duration, mut watch: Watch, group: u64, source: Source) -> Watched {
+    /// Builds the reply to a request of a recorded watcher.
+    pub fn reply(&mut self, now: Duration, mut watch: WatchRequest, group: u64, source: Source) -> WatchReply {
         let name = watch.listing.name.clone();
-        // Only who takes callers chooses among endpoints, and relays pass the loads on.
-        let told = watch.loads.is_some() && (watch.listing.address.is_some() || watch.group.is_some());
+        // Loads are needed by instances that accept callers, and by relays to pass them on.
+        let send_loads = watch.loads.is_some() && (watch.listing.address.is_some() || watch.group.is_some());
         if let Some(loads) = watch.loads.take() {
             self.loads.record(now, &name, loads);
         }
-        let loads = told.then(|| {
-            let mut loads = loads::merge(source.others, self.loads.total_excluding(&name));
-            if let Some(tags) = &source.tags {
+        let loads = send_loads.then(|| {
+            let mut loads = loads::merge(source.remote_loads, self.loads.total_excluding(&name));
+            if let Some(tags) = &source.load_tags {
                 loads.retain(|load| tags.contains(&load.endpoint));
             }
             loads
         });
-        let limits = if told { self.limit_news(now, &name, &source) } else { Vec::new() };
-        let told = source.scope.as_ref().filter(|_| !source.whole);
-        let (directory_due, registry_due) = self.are_due(now, &watch);
-        let registry = source.registry.delta_since(watch.registry, &watch.listing.hall, told);
+        let limits = if send_loads { self.limit_updates(now, &name, &source) } else { Vec::new() };
+        let scope = source.scope.as_ref().filter(|_| !source.unscoped);
+        let (directory_due, registry_due) = self.are_updates_due(now, &watch);
+        let registry = source.registry.delta_since(watch.registry, &watch.listing.hall, scope);
         let pending = registry
             .as_ref()
             .is_some_and(|news| news.has_changes() && !registry_due || news.version < source.registry.version());
         let registry = registry.filter(|news| registry_due || !news.has_changes());
         let directory = source.directory.delta_since(watch.directory).filter(|_| directory_due);
-        let tells = registry.as_ref().is_some_and(RegistryDelta::has_changes);
-        self.note_sent(now, &watch, directory.is_some(), tells);
-        let deltas = source.config.deltas_after(watch.index, DELTAS);
-        let complete = deltas.len() < DELTAS;
+        let sends_registry = registry.as_ref().is_some_and(RegistryDelta::has_changes);
+        self.record_sent(now, &watch, directory.is_some(), sends_registry);
+        let deltas = source.config.deltas_after(watch.index, MAX_DELTAS);
+        let complete = deltas.len() < MAX_DELTAS;
         let last = deltas.last().map_or(watch.index, |delta| delta.held.index);
-        Watched {
+        WatchReply {
             round: watch.round,
             leader: source.leader.clone(),
             age: source.age,
-            asked: watch.index,
-            // A relay may hold less than the asker, who then learns nothing.
+            requested_index: watch.index,
+            // A relay may be behind the watcher.
             index: if complete { source.config.index.max(watch.index) } else { last },
             complete,
             deltas,
             directory,
-            newest: source.document.map_or(0, |document| document.version),
+            latest_document: source.document.map_or(0, |document| document.version),
             document: self.document_for(now, &name, watch.document, source.document),
             registry,
             pending,
@@ -163,24 +162,24 @@
         }
     }
 
-    /// What the asker is told of the limits of the endpoints that it is told of.
-    fn limit_news(&mut self, now: Duration, name: &InstanceId, source: &Source) -> Vec<LimitReport> {
-        let Some(held) = self.asking.get_mut(name) else { return Vec::new() };
+    /// Returns the rate limits to send to a watcher.
+    fn limit_updates(&mut self, now: Duration, name: &InstanceId, source: &Source) -> Vec<LimitReport> {
+        let Some(held) = self.instances.get_mut(name) else { return Vec::new() };
         let mut news = source.limits.all_changes(now, &mut held.limits);
-        if let Some(tags) = &source.tags {
+        if let Some(tags) = &source.load_tags {
             news.retain(|report| tags.contains(&report.endpoint));
         }
         news
     }
 
-    /// Whether the asker may be sent what it lacks of the directory and of the registry.
-    fn are_due(&self, now: Duration, watch: &Watch) -> (bool, bool) {
-        let Some(held) = self.asking.get(&watch.listing.name) else { return (true, true) };
+    /// Returns whether updates of the directory and of the registry may be sent to a watcher.
+    fn are_updates_due(&self, now: Duration, watch: &WatchRequest) -> (bool, bool) {
+        let Some(held) = self.instances.get(&watch.listing.name) else { return (true, true) };
         (held.directory.may_send(now, watch.directory), held.registry.may_send(now, watch.registry))
     }
 
-    fn note_sent(&mut self, now: Duration, watch: &Watch, directory: bool, registry: bool) {
-        let Some(held) = self.asking.get_mut(&watch.listing.name) else { return };
+    fn record_sent(&mut self, now: Duration, watch: &WatchRequest, directory: bool, registry: bool) {
+        let Some(held) = self.instances.get_mut(&watch.listing.name) else { return };
         if directory {
             held.directory = Sent { held: watch.directory, at: Some(now) };
         }
@@ -189,13 +188,13 @@
         }
     }
 
-    /// Records that `listing` asks. Returns whether anything of it has changed.
-    pub fn note(&mut self, now: Duration, listing: &Listing) -> bool {
-        let known = self.asking.get_mut(&listing.name).filter(|held| held.listing.start == listing.start);
+    /// Records a watcher. Returns whether it is new or its listing has changed.
+    pub fn record(&mut self, now: Duration, listing: &Listing) -> bool {
+        let known = self.instances.get_mut(&listing.name).filter(|held| held.listing.start == listing.start);
         let Some(held) = known else {
-            let fresh = Watcher {
+            let watcher = Watcher {
                 listing: listing.clone(),
-                seen: now,
+                last_seen: now,
                 document: 0,
                 document_at: now,
                 directory: Sent::default(),
@@ -203,11 +202,11 @@
                 limits: PeerSync::default(),
                 group: None,
             };
-            self.asking.insert(listing.name.clone(), fresh);
+            self.instances.insert(listing.name.clone(), watcher);
             self.version += 1;
             return true;
         };
-        held.seen = now;
+        held.last_seen = now;
         if held.listing == *listing {
             return false;
         }
@@ -216,9 +215,9 @@
         true
     }
 
-    /// Records the group of a relay. Returns the version that it tells with its members, where they are held.
-    pub fn note_group(&mut self, name: &InstanceId, group: Option<&Group>) -> Option<&(u64, Vec<Listing>)> {
-        let held = self.asking.get_mut(name)?;
+    /// Records the group of a relay. Returns its version and members, if the members of that version are held.
+    pub fn record_group(&mut self, name: &InstanceId, group: Option<&RelayGroup>) -> Option<&(u64, Vec<Listing>)> {
+        let held = self.instances.get_mut(name)?;
         let Some(group) = group else {
             held.group = None;
             return None;
@@ -229,7 +228,7 @@
         held.group.as_ref().filter(|(version, _)| *version == group.version)
     }
 
-    /// What the asker is sent of the document, where it holds an older one and none is on its way to it.
+    /// Returns the document update for a watcher that holds an older version, unless one is in flight.
     fn document_for(
         &mut self,
         now: Duration,
@@ -239,8 +238,8 @@
     ) -> Option<DocumentNews> {
         self.past.record(newest?);
         let newest = newest.filter(|newest| newest.version > held)?;
-        if let Some(watcher) = self.asking.get_mut(name) {
-            if watcher.document == newest.version && now < watcher.document_at + RESEND {
+        if let Some(watcher) = self.instances.get_mut(name) {
+            if watcher.document == newest.version && now < watcher.document_at + RESEND_INTERVAL {
                 return None;
             }
             (watcher.document, watcher.document_at) = (newest.version, now);
@@ -248,55 +247,56 @@
         Some(self.past.to_news(held, newest))
     }
 
-    /// Drops those not heard for `gone` and work told too long ago.
-    pub fn age(&mut self, now: Duration, gone: Duration) {
-        let before = self.asking.len();
-        self.asking.retain(|_, watcher| now < watcher.seen + gone);
-        if self.asking.len() != before {
+    /// Drops watchers not seen for `timeout` and outdated loads.
+    pub fn age(&mut self, now: Duration, timeout: Duration) {
+        let before = self.instances.len();
+        self.instances.retain(|_, watcher| now < watcher.last_seen + timeout);
+        if self.instances.len() != before {
             self.version += 1;
         }
         self.loads.expire(now);
     }
 
-    /// Who they are, for the leader; all members unless it holds `known` already.
-    pub fn to_group(&self, known: u64) -> Option<Group> {
-        if self.asking.is_empty() {
+    /// Returns the watchers as a relay group, without its members if the leader already holds version `known`.
+    pub fn to_group(&self, known: u64) -> Option<RelayGroup> {
+        if self.instances.is_empty() {
             return None;
         }
-        let members = || self.asking.values().map(|watcher| watcher.listing.clone()).collect();
-        Some(Group { version: self.version, members: (known != self.version).then(members) })
+        let members = || self.instances.values().map(|watcher| watcher.listing.clone()).collect();
+        Some(RelayGroup { version: self.version, members: (known != self.version).then(members) })
     }
 
-    /// The work of all that ask, and `own`.
-    pub fn join_loads(&self, own: &[Load]) -> Vec<Load> {
+    /// Returns the loads of all watchers and `own` combined.
+    pub fn total_loads(&self, own: &[Load]) -> Vec<Load> {
         loads::merge(own, self.loads.total())
     }
 
-    /// Requests under way at the endpoint `tag`, over all instances.
+    /// Returns the number of in-flight requests at the endpoint `tag` over all instances.
     pub fn calls_at(&self, tag: EndpointTag) -> u32 {
         self.loads.calls_at(tag)
     }
 
-    /// Tells all but `except` to ask for news, now or, where they were told just before, at the next tick after a pause.
+    /// Notifies all watchers but `except` of an update, delayed by up to [`NOTIFY_INTERVAL`] after the last
+    /// notification.
     pub fn notify(&mut self, now: Duration, except: Option<&InstanceId>, out: &mut Vec<Effect>) {
-        if self.notified.is_some_and(|notified| now < notified + NOTIFY_PAUSE) {
-            self.news = true;
+        if self.notified_at.is_some_and(|at| now < at + NOTIFY_INTERVAL) {
+            self.update_pending = true;
             return;
         }
-        (self.notified, self.news) = (Some(now), false);
-        for name in self.asking.keys().filter(|name| Some(*name) != except) {
+        (self.notified_at, self.update_pending) = (Some(now), false);
+        for name in self.instances.keys().filter(|name| Some(*name) != except) {
             out.push(Effect::Send { to: name.clone(), message: PeerMessage::Notify });
         }
     }
 
-    /// Tells those who ask of news that came during the pause.
+    /// Sends a delayed notification.
     pub fn tick(&mut self, now: Duration, out: &mut Vec<Effect>) {
-        if self.news {
+        if self.update_pending {
             self.notify(now, None, out);
         }
     }
 
-    /// Forgets all.
+    /// Forgets all watchers and loads.
     pub fn clear(&mut self) {
         let past = std::mem::take(&mut self.past);
         *self = Watchers { version: self.version + 1, past, ..Watchers::default() };
--- a/crates/rudder-core/tests/clock.rs
+++ b/crates/rudder-core/tests/clock.rs
@@ -20,7 +20,7 @@
     let now = ms(100);
     for number in 0..right + wrong {
         let step = if number < right { Duration::ZERO } else { STEP };
-        clock.note(now, &format!("i-{number}").as_str().into(), TRUE + now + step);
+        clock.record_reading(now, &format!("i-{number}").as_str().into(), TRUE + now + step);
     }
     clock.tick(now, true);
     clock
@@ -47,7 +47,7 @@
 #[test]
 fn a_step_of_the_leaders_own_clock_moves_nothing() {
     let mut clock = leader(TRUE, 4, 0);
-    clock.set_own(ms(200), TRUE.saturating_sub(STEP));
+    clock.set_local(ms(200), TRUE.saturating_sub(STEP));
     clock.tick(ms(1500), true);
     assert_eq!(clock.agreed(ms(1500)), Some(TRUE + ms(1500)));
 }
@@ -59,7 +59,7 @@
     clock.tick(ms(1000), true);
     assert_eq!(clock.agreed(ms(1000)), Some(TRUE + ms(1000)));
     for name in ["a", "b", "c"] {
-        clock.note(ms(1900), &name.into(), TRUE + ms(1900));
+        clock.record_reading(ms(1900), &name.into(), TRUE + ms(1900));
     }
     clock.tick(ms(2100), true);
     assert_eq!(clock.agreed(ms(2100)), Some(TRUE + ms(2100)));
@@ -88,29 +88,29 @@
 fn a_relay_tells_the_median_of_its_askers() {
     let mut clock = Clock::new(TRUE + STEP);
     for name in ["a", "b"] {
-        clock.note(ms(50), &name.into(), TRUE + ms(50));
+        clock.record_reading(ms(50), &name.into(), TRUE + ms(50));
     }
-    assert_eq!(clock.to_reading(ms(60)), TRUE + ms(60));
+    assert_eq!(clock.reading(ms(60)), TRUE + ms(60));
 }
 
 /// Clocks that jump come back: a jump is followed only when it has lasted, so that even jumps of most clocks move nothing.
 #[test]
 fn a_jump_of_the_own_clock_is_not_followed_until_it_has_lasted() {
     let mut clock = Clock::new(TRUE);
-    clock.set_own(ms(1_000), TRUE + STEP);
-    assert_eq!(clock.to_reading(ms(2_000)), TRUE + ms(2_000));
-    clock.set_own(ms(9_000), TRUE + STEP + ms(5));
+    clock.set_local(ms(1_000), TRUE + STEP);
+    assert_eq!(clock.reading(ms(2_000)), TRUE + ms(2_000));
+    clock.set_local(ms(9_000), TRUE + STEP + ms(5));
     clock.tick(ms(601_000), false);
-    assert_eq!(clock.to_reading(ms(602_000)), TRUE + STEP + ms(5) + ms(602_000));
+    assert_eq!(clock.reading(ms(602_000)), TRUE + STEP + ms(5) + ms(602_000));
 }
 
 #[test]
 fn a_jump_that_comes_back_is_forgotten() {
     let mut clock = Clock::new(TRUE);
-    clock.set_own(ms(1_000), TRUE + STEP);
-    clock.set_own(ms(6_000), TRUE + ms(3));
+    clock.set_local(ms(1_000), TRUE + STEP);
+    clock.set_local(ms(6_000), TRUE + ms(3));
     clock.tick(ms(700_000), false);
-    assert_eq!(clock.to_reading(ms(700_000)), TRUE + ms(3) + ms(700_000));
+    assert_eq!(clock.reading(ms(700_000)), TRUE + ms(3) + ms(700_000));
 }
 
 #[test]
--- a/crates/rudder-core/tests/documents.rs
+++ b/crates/rudder-core/tests/documents.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use mesh::{Mesh, question};
-use rudder_core::{Event, PeerMessage, Watched};
+use rudder_core::{Event, PeerMessage, WatchReply};
 
 fn start() -> Mesh {
     let mut mesh = Mesh::start(9, 3);
@@ -164,7 +164,7 @@
 }
 
 /// Asks the leader as an instance that holds nothing yet.
-fn ask(mesh: &mut Mesh, round: u64, start: u64) -> Watched {
+fn ask(mesh: &mut Mesh, round: u64, start: u64) -> WatchReply {
     let leader = mesh.leader().expect("one leads");
     mesh.ask(leader, question("10.0.9.9:7000", round, start))
 }
@@ -176,7 +176,7 @@
     let mut mesh = start();
     mesh.put(6, 1, 10, "ten");
     mesh.run(Duration::from_secs(1));
-    let has_document = |watched: &Watched| (watched.document.is_some(), watched.newest);
+    let has_document = |watched: &WatchReply| (watched.document.is_some(), watched.latest_document);
     assert_eq!(has_document(&ask(&mut mesh, 1, 5)), (true, 10));
     assert_eq!(has_document(&ask(&mut mesh, 2, 5)), (false, 10));
     assert_eq!(has_document(&ask(&mut mesh, 1, 6)), (true, 10), "another start lacks it");
@@ -198,7 +198,7 @@
     let (now, mut effects) = (mesh.now, Vec::new());
     let state = mesh.nodes[8].state.as_mut().expect("it runs");
     state.reduce(now, Event::Tick, &mut effects);
-    let message = |document| PeerMessage::Watched(Box::new(Watched { document, ..answer.clone() }));
+    let message = |document| PeerMessage::WatchReply(Box::new(WatchReply { document, ..answer.clone() }));
     state.reduce(now, Event::Peer { from: leader.clone(), message: message(None) }, &mut effects);
     assert!(!state.view.is_fresh(now, Duration::from_secs(4)));
     state.reduce(now, Event::Peer { from: leader, message: message(document) }, &mut effects);
--- a/crates/rudder-core/tests/frames.rs
+++ b/crates/rudder-core/tests/frames.rs
@@ -14,9 +14,9 @@
     let findings = Findings { ended: vec![EndedUnder { content: 7, endpoint: 9 }], answered: vec![7] };
     vec![
         PeerMessage::Notify,
-        PeerMessage::Watch(Box::new(mesh::question("i-1", 4, 9))),
+        PeerMessage::WatchRequest(Box::new(mesh::question("i-1", 4, 9))),
         PeerMessage::Propose { ticket: 3, start: 9, command: Command::Findings(findings) },
-        PeerMessage::Elsewhere { leader: Some("i-2".into()) },
+        PeerMessage::Redirect { leader: Some("i-2".into()) },
     ]
 }
 
--- a/crates/rudder-core/tests/large.rs
+++ b/crates/rudder-core/tests/large.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use mesh::{Mesh, question};
-use rudder_core::{Event, Me, Options, PeerMessage, Phase, State, Watched, peer::Load, tree::Tree};
+use rudder_core::{Event, Me, Options, PeerMessage, Phase, State, WatchReply, peer::Load, tree::Tree};
 use rudder_model::id;
 
 const TOTAL: usize = 300;
@@ -159,7 +159,7 @@
 }
 
 /// A fleet, a relay of it that has been cut off for three seconds, one that asks it, and what the relay answers.
-fn ask_cut_relay() -> (Mesh, usize, usize, Watched) {
+fn ask_cut_relay() -> (Mesh, usize, usize, WatchReply) {
     let mut mesh = start();
     let (relays, askers) = divide(&mesh);
     let relay = relays.into_iter().find(|number| *number >= DISKS).expect("most have no disk");
@@ -184,7 +184,7 @@
     let from = mesh.nodes[relay].name.clone();
     let late = began + Duration::from_secs(1);
     let state = mesh.nodes[asker].state.as_mut().expect("it runs");
-    state.reduce(late, Event::Peer { from, message: PeerMessage::Watched(Box::new(answer)) }, &mut Vec::new());
+    state.reduce(late, Event::Peer { from, message: PeerMessage::WatchReply(Box::new(answer)) }, &mut Vec::new());
     assert!(
         !state.view.is_fresh(late, Duration::from_millis(3600)),
         "proved at {:?}, asked at {began:?}",
@@ -203,7 +203,7 @@
     let mut state = State::new(Duration::ZERO, me, Options::default(), None);
     state.reduce(Duration::from_millis(100), Event::Tick, &mut Vec::new());
     let (from, now) = (mesh.nodes[relay].name.clone(), Duration::from_millis(150));
-    state.reduce(now, Event::Peer { from, message: PeerMessage::Watched(Box::new(answer)) }, &mut Vec::new());
+    state.reduce(now, Event::Peer { from, message: PeerMessage::WatchReply(Box::new(answer)) }, &mut Vec::new());
     assert!(!state.view.is_fresh(now, Duration::from_secs(2)), "proved at {:?}", state.view.proved());
 }
 
--- a/crates/rudder-core/tests/mesh/mod.rs
+++ b/crates/rudder-core/tests/mesh/mod.rs
@@ -9,8 +9,8 @@
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg32;
 use rudder_core::{
-    CallOutcome, DutyCall, Effect, Event, Listing, Me, Options, PeerMessage, Phase, Registration, State, Watch,
-    Watched, options::DutyOptions, permits::PermitAnswer, usage::StartedRequest,
+    CallOutcome, DutyCall, Effect, Event, Listing, Me, Options, PeerMessage, Phase, Registration, State, WatchReply,
+    WatchRequest, options::DutyOptions, permits::PermitAnswer, usage::StartedRequest,
 };
 use rudder_ledger::Document;
 use rudder_model::{InstanceId, id};
@@ -165,7 +165,7 @@
 }
 
 /// The question of an instance that holds nothing yet.
-pub fn question(asker: &str, round: u64, start: u64) -> Watch {
+pub fn question(asker: &str, round: u64, start: u64) -> WatchRequest {
     let listing = Listing {
         name: asker.into(),
         hall: "hall-0".into(),
@@ -174,7 +174,7 @@
         stopping: false,
         replica: None,
     };
-    Watch {
+    WatchRequest {
         round,
         listing,
         index: 0,
@@ -183,7 +183,7 @@
         registry: 0,
         quarantine: 0,
         evacuations: 0,
-        heard: Vec::new(),
+        heartbeats: Vec::new(),
         loads: Some(Vec::new()),
         limits: Vec::new(),
         group: None,
@@ -193,14 +193,14 @@
 
 impl Mesh {
     /// Asks an instance and returns its answer.
-    pub fn ask(&mut self, number: usize, question: Watch) -> Watched {
+    pub fn ask(&mut self, number: usize, question: WatchRequest) -> WatchReply {
         let from = question.listing.name.clone();
         let mut effects = Vec::new();
         let state = self.nodes[number].state.as_mut().expect("it runs");
-        let message = PeerMessage::Watch(Box::new(question));
+        let message = PeerMessage::WatchRequest(Box::new(question));
         state.reduce(self.now, Event::Peer { from, message }, &mut effects);
         let answer = effects.into_iter().find_map(|effect| match effect {
-            Effect::Send { message: PeerMessage::Watched(watched), .. } => Some(*watched),
+            Effect::Send { message: PeerMessage::WatchReply(watched), .. } => Some(*watched),
             _ => None,
         });
         answer.expect("it answers")
@@ -501,8 +501,8 @@
 
     fn tamper(&self, message: PeerMessage) -> PeerMessage {
         match message {
-            PeerMessage::Watched(watched) if self.defect == Defect::FreshRelayProofs => {
-                PeerMessage::Watched(Box::new(Watched { age: Duration::ZERO, ..*watched }))
+            PeerMessage::WatchReply(watched) if self.defect == Defect::FreshRelayProofs => {
+                PeerMessage::WatchReply(Box::new(WatchReply { age: Duration::ZERO, ..*watched }))
             }
             message => message,
         }
--- a/crates/rudder-core/tests/registry.rs
+++ b/crates/rudder-core/tests/registry.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use mesh::{Mesh, question};
-use rudder_core::{Phase, Registration, Watch};
+use rudder_core::{Phase, Registration, WatchRequest};
 
 /// Nine instances that know each other and one ready endpoint.
 fn start() -> Mesh {
@@ -144,7 +144,7 @@
     }
     let leader = mesh.leader().expect("one leads now");
     let gone = Registration::end_of("e-1", None, "hall-0".into());
-    let answer = mesh.ask(leader, Watch { heard: vec![gone], ..question("caller", 1, 9) });
+    let answer = mesh.ask(leader, WatchRequest { heartbeats: vec![gone], ..question("caller", 1, 9) });
     assert!(answer.registry.is_some_and(|news| news.entries.iter().any(|told| told.value.phase == Phase::Gone)));
     // An earlier heartbeat comes after it.
     mesh.run(Duration::from_millis(100));
--- a/crates/rudder-core/tests/world/mod.rs
+++ b/crates/rudder-core/tests/world/mod.rs
@@ -9,7 +9,7 @@
 
 use rand::{RngExt as _, SeedableRng as _};
 use rand_pcg::Pcg32;
-use rudder_core::{Arrival, Effect, Ended, Event, Key, Me, Options, PeerMessage, State, Stored, Verdict, Watched};
+use rudder_core::{Arrival, Effect, Ended, Event, Key, Me, Options, PeerMessage, State, Stored, Verdict, WatchReply};
 use rudder_events::What;
 use rudder_ledger::{Change, Changed};
 use rudder_model::{
@@ -431,15 +431,15 @@
 
     /// Sabotage: an answer is told as the answer to the questions of the next minute too.
     fn tamper(&mut self, target: usize, message: PeerMessage) -> PeerMessage {
-        let PeerMessage::Watched(watched) = &message else {
+        let PeerMessage::WatchReply(watched) = &message else {
             return message;
         };
         if self.sabotage != Sabotage::OldAnswers {
             return message;
         }
         for later in 1..60 {
-            let told = Watched { round: watched.round + later, ..(**watched).clone() };
-            let message = PeerMessage::Watched(Box::new(told));
+            let told = WatchReply { round: watched.round + later, ..(**watched).clone() };
+            let message = PeerMessage::WatchReply(Box::new(told));
             let event = Event::Peer { from: self.seats[0].name.clone(), message };
             self.schedule(400 * later + 30, Delivery::Node(target, event));
         }
@@ -629,7 +629,7 @@
         Effect::Log(What::Asked { .. }) => step == Step::Asked,
         Effect::Log(What::Granted { .. }) => step == Step::Granted,
         Effect::Verdict { verdict: Verdict::Dispatch(_), .. } => step == Step::Dispatched,
-        Effect::Send { message: PeerMessage::Watched(watched), .. } => {
+        Effect::Send { message: PeerMessage::WatchReply(watched), .. } => {
             step == Step::Distributed && !watched.deltas.is_empty()
         }
         _ => false,
