--- a/crates/rudder-core/src/calls/mod.rs
+++ b/crates/rudder-core/src/calls/mod.rs
@@ -80,7 +80,7 @@
 
 impl Context<'_> {
     pub(crate) fn is_fresh(&self) -> bool {
-        self.view.is_fresh(self.now, self.options.freshness_bound)
+        self.view.is_fresh(self.now, self.options.max_proof_age)
     }
 
     pub(crate) fn log(&mut self, what: What) {
--- a/crates/rudder-core/src/calls/slots.rs
+++ b/crates/rudder-core/src/calls/slots.rs
@@ -94,7 +94,7 @@
         let once = call.class.once || call.attempt.is_some();
         let unsent = !once || call.ran == Ran::No;
         assert!(context.promises.check(Promise::AtMostOnce, unsent), "{} would be sent twice", to_hex(request));
-        let fresh = context.view.is_fresh(context.now, context.options.freshness_bound);
+        let fresh = context.view.is_fresh(context.now, context.options.max_proof_age);
         assert!(context.promises.check(Promise::Leaving, fresh), "new work on configuration that may be old");
         call.phase = Phase::Running { endpoint: endpoint.clone(), since: context.now };
         call.dispatches += 1;
--- a/crates/rudder-core/src/options.rs
+++ b/crates/rudder-core/src/options.rs
@@ -73,7 +73,7 @@
     /// Interval between watch requests.
     pub watch_interval: Duration,
     /// Maximum age of the freshness proof with which new work is started.
-    pub freshness_bound: Duration,
+    pub max_proof_age: Duration,
     /// Time without a sign of life after which an instance is removed from the directory.
     pub liveness_timeout: Duration,
     /// Time for which callers may use a list of entries.
@@ -109,7 +109,7 @@
             founders: Vec::new(),
             nearest: Vec::new(),
             watch_interval: Duration::from_millis(400),
-            freshness_bound: Duration::from_secs(3),
+            max_proof_age: Duration::from_secs(3),
             liveness_timeout: Duration::from_secs(2),
             entries_ttl: Duration::from_secs(10),
             poll_interval: Duration::from_secs(1),
--- a/crates/rudder-core/src/reduce.rs
+++ b/crates/rudder-core/src/reduce.rs
@@ -116,7 +116,7 @@
 
     /// Returns whether this instance may start new work.
     pub fn is_ready(&self, now: Duration) -> bool {
-        self.view.is_fresh(now, self.options.freshness_bound) && self.stopping.is_none()
+        self.view.is_fresh(now, self.options.max_proof_age) && self.stopping.is_none()
     }
 
     /// Returns the number of pending proposals.
@@ -278,7 +278,7 @@
         let endpoint = registration.endpoint.clone();
         self.view.record_heartbeat(now, registration);
         if !leaving {
-            let accepted = self.view.is_fresh(now, self.options.freshness_bound);
+            let accepted = self.view.is_fresh(now, self.options.max_proof_age);
             out.push(Effect::Registered { ticket, accepted });
             return;
         }
@@ -331,7 +331,7 @@
     fn finish_stop(&mut self, now: Duration, out: &mut Vec<Effect>) {
         let Some(since) = self.stopping else { return };
         // Other instances may hand out lists with this entry until their own view expires.
-        let expired = now >= since + self.options.entries_ttl + self.options.freshness_bound;
+        let expired = now >= since + self.options.entries_ttl + self.options.max_proof_age;
         let idle = self.calls.is_empty() && self.proposals.len() == 0;
         if !expired || !idle || self.exited {
             return;
--- a/crates/rudder-core/src/view.rs
+++ b/crates/rudder-core/src/view.rs
@@ -268,7 +268,7 @@
         options: &Options,
         out: &mut Vec<Effect>,
     ) {
-        self.log_freshness(now, options.freshness_bound, out);
+        self.log_freshness(now, options.max_proof_age, out);
         if !self.upstream.is_due(now, options) {
             return;
         }
@@ -329,7 +329,7 @@
 
     /// Returns the state that a relay replies from; `None` if this instance is no relay or has no fresh proof.
     pub(crate) fn relay_source(&self, now: Duration, options: &Options) -> Option<Source<'_>> {
-        let proved = self.proved.filter(|proved| self.is_relay(options) && now < *proved + options.freshness_bound)?;
+        let proved = self.proved.filter(|proved| self.is_relay(options) && now < *proved + options.max_proof_age)?;
         Some(Source {
             leader: self.upstream.last_leader()?,
             age: now.saturating_sub(proved),
--- a/crates/rudder-core/tests/mesh/mod.rs
+++ b/crates/rudder-core/tests/mesh/mod.rs
@@ -278,7 +278,7 @@
             seeds: node.seeds.clone(),
             founders: if founding { node.seeds.clone() } else { Vec::new() },
             watch_interval: Duration::from_millis(250),
-            freshness_bound: Duration::from_millis(4500),
+            max_proof_age: Duration::from_millis(4500),
             liveness_timeout: Duration::from_millis(1500),
             duties,
             replica: rudder_replica::Options {
--- a/crates/rudder-core/tests/world/mod.rs
+++ b/crates/rudder-core/tests/world/mod.rs
@@ -226,7 +226,7 @@
             seeds: (0..5).map(|index| InstanceId::from(format!("node-{index}"))).collect(),
             founders: (0..3).map(|index| InstanceId::from(format!("node-{index}"))).collect(),
             nearest: nearest.into_iter().map(Into::into).collect(),
-            freshness_bound: FRESH,
+            max_proof_age: FRESH,
             snapshot_every: 30,
             replica: rudder_replica::Options {
                 seed: self.start,
--- a/crates/rudder-gateway/src/driver.rs
+++ b/crates/rudder-gateway/src/driver.rs
@@ -156,7 +156,7 @@
         seeds: options.seeds.clone(),
         founders: if options.bootstrap { options.seeds.clone() } else { Vec::new() },
         watch_interval: options.watch,
-        freshness_bound: options.max_proof_age,
+        max_proof_age: options.max_proof_age,
         liveness_timeout: Duration::from_millis(800),
         entries_ttl: options.keep,
         snapshot_bytes: SNAPSHOT,
--- a/crates/rudder-node/src/start.rs
+++ b/crates/rudder-node/src/start.rs
@@ -182,7 +182,7 @@
         founders: names(|peer| peer.founder),
         nearest: settings.nearest.get_ref().clone(),
         watch_interval: control.watch,
-        freshness_bound: control.fresh,
+        max_proof_age: control.fresh,
         entries_ttl: settings.traffic.keep,
         poll_interval: settings.traffic.poll,
         load_interval: control.load_interval,
