--- a/crates/rudder-core/tests/clock.rs
+++ b/crates/rudder-core/tests/clock.rs
@@ -1,4 +1,4 @@
-//! The time of day that all agree on: right while most clocks are, and learned within the time that a question takes.
+//! The agreed time of day: correct while most clocks are, and learned with an error of at most the round-trip time.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
     Duration::from_millis(millis)
 }
 
-/// The leader's clock after it was told those of `right` others that are right and `wrong` that are 2 s ahead.
+/// Returns a leader's clock after readings of `right` correct clocks and of `wrong` clocks that are 2 s ahead.
 fn leader(own: Duration, right: usize, wrong: usize) -> Clock {
     let mut clock = Clock::new(own);
     let now = ms(100);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_new_leader_keeps_what_it_learned_until_others_have_told_theirs() {
+fn a_new_leader_keeps_the_time_it_learned_until_it_has_readings() {
     let mut clock = Clock::new(TRUE + STEP);
     clock.learn(ms(10), ms(8), TRUE + ms(9));
     clock.tick(ms(1000), true);
@@ -70,7 +70,7 @@
     let mut clock = Clock::new(TRUE + STEP);
     clock.learn(ms(12), ms(10), TRUE + ms(11));
     assert_eq!(clock.agreed(ms(12)), Some(TRUE + ms(12)));
-    // Sent at 1,000 and answered at once, but the answer took 400 ms.
+    // Answered at once, but the reply took 400 ms.
     clock.learn(ms(1400), ms(1000), TRUE + ms(1000));
     assert_eq!(clock.agreed(ms(1400)), Some(TRUE + ms(1400)));
 }
@@ -80,12 +80,12 @@
     let mut clock = Clock::new(TRUE);
     clock.learn(ms(12), ms(10), TRUE + STEP + ms(11));
     clock.learn(ms(1003), ms(1000), TRUE + ms(1001));
-    let time = clock.agreed(ms(1003)).expect("it has learned it");
+    let time = clock.agreed(ms(1003)).expect("a known time");
     assert!(time.abs_diff(TRUE + ms(1003)) <= ms(2), "{time:?}");
 }
 
 #[test]
-fn a_relay_tells_the_median_of_its_askers() {
+fn a_relay_sends_the_median_of_its_watchers() {
     let mut clock = Clock::new(TRUE + STEP);
     for name in ["a", "b"] {
         clock.record_reading(ms(50), &name.into(), TRUE + ms(50));
@@ -93,7 +93,7 @@
     assert_eq!(clock.reading(ms(60)), TRUE + ms(60));
 }
 
-/// Clocks that jump come back: a jump is followed only when it has lasted, so that even jumps of most clocks move nothing.
+/// Guards against a jump of most clocks that is reverted soon after.
 #[test]
 fn a_jump_of_the_own_clock_is_not_followed_until_it_has_lasted() {
     let mut clock = Clock::new(TRUE);
--- a/crates/rudder-core/tests/documents.rs
+++ b/crates/rudder-core/tests/documents.rs
@@ -1,10 +1,10 @@
-//! Whole documents: the highest version holds, what was acknowledged stays, all learn of it soon.
+//! Configuration documents: the highest version wins, acknowledged ones are durable and reach all instances soon.
 
 mod mesh;
 
 use std::time::Duration;
 
-use mesh::{Mesh, question};
+use mesh::{Mesh, watch_request};
 use rudder_core::{Event, PeerMessage, WatchReply};
 
 fn start() -> Mesh {
@@ -34,7 +34,7 @@
     assert_eq!(mesh.documented.get(&1), Some(&Some(10)));
     assert_eq!(mesh.documented.get(&2), Some(&Some(10)));
     let body = |number: usize| {
-        let state = mesh.nodes[number].state.as_ref().expect("it runs");
+        let state = mesh.nodes[number].state.as_ref().expect("running instance");
         state.view.document.as_ref().map(|document| document.body.to_vec())
     };
     let first = body(0);
@@ -55,7 +55,7 @@
 #[test]
 fn without_a_quorum_nothing_is_acknowledged_and_freshness_ends() {
     let mut mesh = start();
-    let leader = mesh.leader().expect("one leads");
+    let leader = mesh.leader().expect("a leader");
     for number in (0..3).filter(|number| *number != leader) {
         mesh.nodes[number].cut = true;
     }
@@ -67,8 +67,7 @@
     }
 }
 
-/// Disks are emptied one after the other, each right after an acknowledgement, four seconds apart; what
-/// was acknowledged must be on two disks again before the next one goes.
+/// Guards against slow repair: each lost disk must be replaced before the next one is lost.
 #[test]
 fn disks_lost_in_turn_right_after_acknowledgements_lose_nothing() {
     let mut mesh = start();
@@ -78,7 +77,7 @@
         mesh.put(3 + round % 6, round as u64, version, "content");
         mesh.run(Duration::from_millis(60));
         assert_eq!(mesh.documented.get(&(round as u64)), Some(&Some(version)), "round {round}");
-        let lost = mesh.leader().expect("one leads");
+        let lost = mesh.leader().expect("a leader");
         mesh.kill(lost);
         mesh.wipe(lost);
         mesh.run(Duration::from_secs(1));
@@ -90,18 +89,17 @@
     }
 }
 
-/// A disk is emptied while the other two lose power, right after an acknowledgement; the one that was
-/// behind and the emptied one must not make a quorum.
+/// Guards against a voter with an emptied disk counting towards a quorum.
 #[test]
 fn the_one_behind_and_the_emptied_one_never_make_a_quorum() {
     let mut mesh = start();
-    let leader = mesh.leader().expect("one leads");
+    let leader = mesh.leader().expect("a leader");
     let voters: Vec<usize> = (0..3).filter(|number| *number != leader).collect();
     mesh.nodes[voters[0]].cut = true;
     mesh.put(6, 1, 10, "acknowledged");
     mesh.run(Duration::from_millis(100));
     assert_eq!(mesh.documented.get(&1), Some(&Some(10)));
-    // The one that has it besides the leader goes dark, the leader loses its disk, the cut heals.
+    // The other holder of the document goes down, the leader loses its disk and the partition heals.
     mesh.kill(voters[1]);
     mesh.kill(leader);
     mesh.wipe(leader);
@@ -110,7 +108,7 @@
     mesh.run(Duration::from_secs(8));
     assert_eq!(mesh.leader(), None, "a quorum without the acknowledged document");
     assert!((0..9).all(|number| !mesh.is_fresh(number, Duration::from_secs(3))));
-    // With the dark one back, all is there.
+    // Once the other holder is back, the document is restored.
     mesh.boot(voters[1]);
     mesh.run(Duration::from_secs(5));
     for number in 0..9 {
@@ -134,18 +132,18 @@
     assert_eq!(mesh.version_at(8), 11);
 }
 
-/// A voter whose disk answers nothing must not hold up what the others can save.
+/// Guards against one stalled disk blocking commits by the others.
 #[test]
 fn a_stalled_disk_holds_nothing_up() {
     let mut mesh = start();
-    let leader = mesh.leader().expect("one leads");
+    let leader = mesh.leader().expect("a leader");
     mesh.nodes[leader].stalled = true;
     mesh.put(6, 1, 10, "ten");
     mesh.run(Duration::from_millis(500));
     assert_eq!(mesh.documented.get(&1), Some(&Some(10)));
 }
 
-/// A core machine is replaced for good by an empty one at another address, twice.
+/// Guards against a permanent loss of voters reducing the quorum.
 #[test]
 fn lost_voters_are_replaced_by_new_ones() {
     let mut mesh = Mesh::start(9, 5);
@@ -153,7 +151,7 @@
     mesh.put(6, 1, 10, "ten");
     mesh.run(Duration::from_secs(1));
     for round in 0..2 {
-        let lost = mesh.leader().expect("one leads");
+        let lost = mesh.leader().expect("a leader");
         mesh.kill(lost);
         mesh.run(Duration::from_secs(5));
         let version = 11 + round;
@@ -163,40 +161,39 @@
     }
 }
 
-/// Asks the leader as an instance that holds nothing yet.
-fn ask(mesh: &mut Mesh, round: u64, start: u64) -> WatchReply {
-    let leader = mesh.leader().expect("one leads");
-    mesh.ask(leader, question("10.0.9.9:7000", round, start))
+/// Sends a watch request of an instance that holds nothing yet to the leader.
+fn watch_leader(mesh: &mut Mesh, round: u64, start: u64) -> WatchReply {
+    let leader = mesh.leader().expect("a leader");
+    mesh.watch(leader, watch_request("10.0.9.9:7000", round, start))
 }
 
-/// In a start of many instances each asked again before its answer was there, and the copies of the document held
-/// up each other for half a second.
+/// Guards against duplicate transfers of a document to an instance that repeats its request.
 #[test]
-fn a_document_on_its_way_is_not_sent_again() {
+fn a_document_in_flight_is_not_sent_again() {
     let mut mesh = start();
     mesh.put(6, 1, 10, "ten");
     mesh.run(Duration::from_secs(1));
-    let has_document = |watched: &WatchReply| (watched.document.is_some(), watched.latest_document);
-    assert_eq!(has_document(&ask(&mut mesh, 1, 5)), (true, 10));
-    assert_eq!(has_document(&ask(&mut mesh, 2, 5)), (false, 10));
-    assert_eq!(has_document(&ask(&mut mesh, 1, 6)), (true, 10), "another start lacks it");
+    let has_document = |reply: &WatchReply| (reply.document.is_some(), reply.latest_document);
+    assert_eq!(has_document(&watch_leader(&mut mesh, 1, 5)), (true, 10));
+    assert_eq!(has_document(&watch_leader(&mut mesh, 2, 5)), (false, 10));
+    assert_eq!(has_document(&watch_leader(&mut mesh, 1, 6)), (true, 10), "a restarted instance lacks it");
     mesh.run(Duration::from_millis(450));
-    assert_eq!(has_document(&ask(&mut mesh, 2, 6)), (true, 10), "it may have been lost");
+    assert_eq!(has_document(&watch_leader(&mut mesh, 2, 6)), (true, 10), "it may have been lost");
 }
 
-/// An answer that leaves out a document on its way proves nothing until the document is there.
+/// Guards against accepting a proof from a reply that omits a document in flight.
 #[test]
 fn without_the_newest_document_there_is_no_proof() {
     let mut mesh = start();
     mesh.put(6, 1, 10, "ten");
     mesh.run(Duration::from_secs(1));
-    let leader = mesh.nodes[mesh.leader().expect("one leads")].name.clone();
-    let mut answer = ask(&mut mesh, 1, 5);
+    let leader = mesh.nodes[mesh.leader().expect("a leader")].name.clone();
+    let mut answer = watch_leader(&mut mesh, 1, 5);
     let document = answer.document.take();
     mesh.kill(8);
     mesh.boot(8);
     let (now, mut effects) = (mesh.now, Vec::new());
-    let state = mesh.nodes[8].state.as_mut().expect("it runs");
+    let state = mesh.nodes[8].state.as_mut().expect("running instance");
     state.reduce(now, Event::Tick, &mut effects);
     let message = |document| PeerMessage::WatchReply(Box::new(WatchReply { document, ..answer.clone() }));
     state.reduce(now, Event::Peer { from: leader.clone(), message: message(None) }, &mut effects);
--- a/crates/rudder-core/tests/duties.rs
+++ b/crates/rudder-core/tests/duties.rs
@@ -374,7 +374,7 @@
     describe_for(&mut mesh, 6, FIRST, [0; 3]);
     mesh.receiver.mode = ReceiverMode::Answers;
     describe_for(&mut mesh, 8, [0; 3], [30; 3]);
-    mesh.receiver.carry_out_late(mesh.now);
+    mesh.receiver.carry_out_due(mesh.now);
     assert_eq!((ordered(&mesh, false), ordered(&mesh, true)), (vec![Some(0); 3], vec![Some(30); 3]));
     assert!(mesh.receiver.stale > 0, "the late ones came");
 }
--- a/crates/rudder-core/tests/effects.rs
+++ b/crates/rudder-core/tests/effects.rs
@@ -9,8 +9,8 @@
 
 #[test]
 fn the_verdict_of_a_refusal_comes_before_its_log_line() {
-    let mut alone = SingleInstance::new();
-    alone.run(2000);
+    let mut instance = SingleInstance::new();
+    instance.run(2000);
     let arrival = Arrival {
         request: id::request_id(1, 1),
         bearer: "no such key".to_owned(),
@@ -22,8 +22,8 @@
         patience: None,
     };
     let mut effects = Vec::new();
-    alone.state.reduce(alone.now, Event::Arrive(Box::new(arrival)), &mut effects);
-    // Once the end of a request is logged, its caller's channel is forgotten.
+    instance.state.reduce(instance.now, Event::Arrive(Box::new(arrival)), &mut effects);
+    // The caller's channel is dropped once the end of a request is logged.
     let [Effect::Verdict { verdict: Verdict::Refuse(refusal), .. }, Effect::Log(What::Refused { .. })] = &effects[..]
     else {
         panic!("{effects:?}")
--- a/crates/rudder-core/tests/fleet.rs
+++ b/crates/rudder-core/tests/fleet.rs
@@ -1,8 +1,8 @@
-//! Hundreds of instances under random faults, in virtual time: what an instance can prove it has, everywhere and at
-//! every moment; and all of them recover.
+//! A fleet under random faults in virtual time: every instance holds at all times what it claims to prove, and all
+//! recover.
 //!
-//! `RUDDER_SEED` and `RUDDER_TESTS` choose the first seed and how many are played; a schedule that fails is shortened
-//! as far as it still fails and printed.
+//! The environment variables `RUDDER_SEED` and `RUDDER_TESTS` set the first seed and the number of seeds. A failing
+//! schedule is minimised and printed.
 
 mod mesh;
 
@@ -22,46 +22,46 @@
 const TOTAL: usize = 120;
 const HALLS: usize = 3;
 const DISKS: usize = 5;
-/// Disks that may be away at once.
-const LOST_MOST: usize = 2;
-/// Faults and changes of one schedule.
+/// Maximum number of instances with a disk that are unavailable at once.
+const MAX_LOST_DISKS: usize = 2;
+/// Number of actions in a schedule.
 const STEPS: usize = 40;
-/// Time in which they happen.
+/// Time span of a schedule.
 const SPAN: Duration = Duration::from_secs(20);
-/// Time between looks at all instances.
-const LOOK: Duration = Duration::from_millis(50);
-/// Requests that begin between two looks.
-const BEGUN: usize = 3;
+/// Interval between checks of all instances.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Number of requests started between two checks.
+const REQUESTS_PER_CHECK: usize = 3;
 const ORG: &str = "acme";
-/// Clocks read this when the virtual time is nothing.
+/// Time of day at virtual time zero.
 const ORIGIN: Duration = Duration::from_secs(1_000_000);
-/// From the end of the last fault until all windows that were open then have been reported.
-const REPORTED: Duration = Duration::from_secs(16);
-/// From the end of the last fault until all instances have young proof again.
-const RECOVERY: Duration = Duration::from_secs(6);
+/// Time from the last fault until all windows then open are reported.
+const REPORT_TIME: Duration = Duration::from_secs(16);
+/// Time from the last fault until all instances have a recent proof again.
+const RECOVERY_TIME: Duration = Duration::from_secs(6);
 
-/// Something that happens.
+/// A fault or change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum What {
-    /// An instance is killed and starts again later.
+enum Action {
+    /// An instance is killed and restarted later.
     Kill(usize),
-    /// It stands still for a while.
+    /// An instance is paused for a while.
     Pause(usize),
-    /// It is cut off for a while.
+    /// An instance is partitioned for a while.
     Cut(usize),
-    /// All the instances of one hall that have no disk are killed and start again later.
+    /// All instances of a hall without a disk are killed and restarted later.
     KillHall(usize),
-    /// Everything loses power and starts again at once.
+    /// All instances are killed and restarted at once.
     KillAll,
-    /// Messages are lost and held up for a while.
-    Rough,
-    /// An operator sends a new document to an instance.
+    /// Messages are lost and delayed for a while.
+    DegradeNetwork,
+    /// An operator submits a new document to an instance.
     Put(usize),
-    /// An endpoint says to an instance that it leaves.
+    /// An endpoint announces its departure to an instance.
     Leave(usize),
-    /// The clock of an instance steps by two seconds, and back later.
-    Step(usize),
-    /// The receiver of duties answers otherwise for a while.
+    /// The clock of an instance steps by two seconds and back later.
+    StepClock(usize),
+    /// The receiver of duties changes its mode for a while.
     Receiver(ReceiverMode),
 }
 
@@ -69,7 +69,7 @@
 struct Step {
     at: Duration,
     lasts: Duration,
-    what: What,
+    action: Action,
 }
 
 fn draw_schedule(seed: u64) -> Vec<Step> {
@@ -83,39 +83,39 @@
     let any = rng.random_range(0..TOTAL);
     let disk = rng.random_range(0..DISKS);
     let target = if rng.random_bool(0.3) { disk } else { any };
-    let what = match rng.random_range(0..20) {
-        0..3 => What::Kill(target),
-        3..6 => What::Pause(target),
-        6..8 => What::Cut(target),
-        8 => What::KillHall(rng.random_range(0..HALLS)),
-        9 if rng.random_bool(0.3) => What::KillAll,
-        9 => What::Rough,
-        10..14 => What::Put(any),
-        14..17 => What::Leave(any),
-        17 => What::Step(target),
-        _ => What::Receiver([ReceiverMode::Mute, ReceiverMode::Busy, ReceiverMode::Down][rng.random_range(0..3)]),
+    let action = match rng.random_range(0..20) {
+        0..3 => Action::Kill(target),
+        3..6 => Action::Pause(target),
+        6..8 => Action::Cut(target),
+        8 => Action::KillHall(rng.random_range(0..HALLS)),
+        9 if rng.random_bool(0.3) => Action::KillAll,
+        9 => Action::DegradeNetwork,
+        10..14 => Action::Put(any),
+        14..17 => Action::Leave(any),
+        17 => Action::StepClock(target),
+        _ => Action::Receiver([ReceiverMode::Mute, ReceiverMode::Busy, ReceiverMode::Down][rng.random_range(0..3)]),
     };
     let at = rng.random_range(Duration::ZERO..SPAN);
-    Step { at, lasts: rng.random_range(Duration::from_millis(200)..Duration::from_secs(4)), what }
+    Step { at, lasts: rng.random_range(Duration::from_millis(200)..Duration::from_secs(4)), action }
 }
 
-/// A fleet, and what was acknowledged in it.
+/// A fleet and what it has acknowledged.
 struct Fleet {
     mesh: Mesh,
-    /// What to end, and when.
-    ends: Vec<(Duration, What)>,
-    /// Versions acknowledged, with the time at which that was seen.
+    /// Actions to end and the time of their end.
+    ends: Vec<(Duration, Action)>,
+    /// Document versions acknowledged, with the time of observation.
     acknowledged: Vec<(u64, Duration)>,
-    /// Endpoints that leave, by ticket.
+    /// Departing endpoints by ticket.
     leaving: BTreeMap<u64, String>,
-    /// Leaves acknowledged, with the time and the leader.
-    left: Vec<(String, Duration, Option<usize>)>,
-    /// The last leader seen and since when it has led without a break.
+    /// Departures acknowledged, with the time and the leader.
+    departed: Vec<(String, Duration, Option<usize>)>,
+    /// The current leader and the start of its leadership.
     leader: (Option<usize>, Duration),
     versions: Vec<(u64, u64)>,
     count: u64,
-    /// Requests that began.
-    begun: u64,
+    /// Number of requests started.
+    started: u64,
     rng: Pcg32,
 }
 
@@ -133,11 +133,11 @@
             ends: Vec::new(),
             acknowledged: Vec::new(),
             leaving: BTreeMap::new(),
-            left: Vec::new(),
+            departed: Vec::new(),
             leader: (None, Duration::ZERO),
             versions: vec![(0, 0); TOTAL],
             count: 1,
-            begun: 0,
+            started: 0,
             rng: Pcg32::seed_from_u64(seed),
         }
     }
@@ -150,25 +150,25 @@
                 self.begin(step);
             }
             self.end_due();
-            self.serve();
-            self.mesh.run(LOOK);
+            self.start_requests();
+            self.mesh.run(CHECK_INTERVAL);
             self.check()?;
         }
-        self.mesh.run(RECOVERY);
+        self.mesh.run(RECOVERY_TIME);
         self.check()?;
         self.check_recovered()?;
-        self.mesh.run(REPORTED);
+        self.mesh.run(REPORT_TIME);
         self.check()?;
         self.check_reported()
     }
 
-    /// Some instances begin a request.
-    fn serve(&mut self) {
-        for _ in 0..BEGUN {
+    /// Starts requests at random instances.
+    fn start_requests(&mut self) {
+        for _ in 0..REQUESTS_PER_CHECK {
             let number = self.rng.random_range(0..TOTAL);
             let node = &self.mesh.nodes[number];
             if node.state.is_some() && !node.paused {
-                self.begun += 1;
+                self.started += 1;
                 self.mesh.begin_request(number, ORG);
             }
         }
@@ -176,21 +176,23 @@
 
     fn begin(&mut self, step: &Step) {
         let ends = self.mesh.now + step.lasts;
-        match step.what {
-            What::Kill(number) if self.may_lose(number) => self.mesh.kill(number),
-            What::Pause(number) if self.may_lose(number) => self.mesh.nodes[number].paused = true,
-            What::Cut(number) if self.may_lose(number) => self.mesh.nodes[number].cut = true,
-            What::KillHall(hall) => self.kill_hall(hall),
-            What::KillAll => (0..TOTAL).for_each(|number| self.mesh.kill(number)),
-            What::Rough => (self.mesh.loss, self.mesh.delay) = (0.05, Duration::from_millis(150)),
-            What::Step(number) => self.mesh.send_event(number, Event::ClockStepped(ORIGIN + Duration::from_secs(2))),
-            What::Receiver(mode) => self.mesh.receiver.mode = mode,
-            What::Put(number) => return self.put(number),
-            What::Leave(number) => return self.leave(number),
-            What::Kill(_) | What::Pause(_) | What::Cut(_) => return,
+        match step.action {
+            Action::Kill(number) if self.may_disable(number) => self.mesh.kill(number),
+            Action::Pause(number) if self.may_disable(number) => self.mesh.nodes[number].paused = true,
+            Action::Cut(number) if self.may_disable(number) => self.mesh.nodes[number].cut = true,
+            Action::KillHall(hall) => self.kill_hall(hall),
+            Action::KillAll => (0..TOTAL).for_each(|number| self.mesh.kill(number)),
+            Action::DegradeNetwork => (self.mesh.loss, self.mesh.delay) = (0.05, Duration::from_millis(150)),
+            Action::StepClock(number) => {
+                self.mesh.send_event(number, Event::ClockStepped(ORIGIN + Duration::from_secs(2)));
+            }
+            Action::Receiver(mode) => self.mesh.receiver.mode = mode,
+            Action::Put(number) => return self.put(number),
+            Action::Leave(number) => return self.leave(number),
+            Action::Kill(_) | Action::Pause(_) | Action::Cut(_) => return,
         }
-        let lasts = if step.what == What::KillAll { self.mesh.now } else { ends };
-        self.ends.push((lasts, step.what));
+        let lasts = if step.action == Action::KillAll { self.mesh.now } else { ends };
+        self.ends.push((lasts, step.action));
     }
 
     fn kill_hall(&mut self, hall: usize) {
@@ -199,13 +201,13 @@
         }
     }
 
-    /// True where no more disks would be away than may be.
-    fn may_lose(&self, number: usize) -> bool {
-        let away = |number: &usize| {
+    /// Returns whether an instance can be disabled without exceeding [`MAX_LOST_DISKS`].
+    fn may_disable(&self, number: usize) -> bool {
+        let is_unavailable = |number: &usize| {
             let node = &self.mesh.nodes[*number];
             node.state.is_none() || node.cut || node.paused
         };
-        number >= DISKS || (0..DISKS).filter(away).count() < LOST_MOST
+        number >= DISKS || (0..DISKS).filter(is_unavailable).count() < MAX_LOST_DISKS
     }
 
     fn put(&mut self, number: usize) {
@@ -225,25 +227,25 @@
         let now = self.mesh.now;
         let (due, later): (Vec<_>, Vec<_>) = self.ends.drain(..).partition(|(at, _)| *at <= now);
         self.ends = later;
-        for (_, what) in due {
-            self.end(what);
+        for (_, action) in due {
+            self.end(action);
         }
     }
 
-    fn end(&mut self, what: What) {
-        match what {
-            What::Pause(number) => self.mesh.wake(number),
-            What::Cut(number) => self.mesh.nodes[number].cut = false,
-            What::Rough => (self.mesh.loss, self.mesh.delay) = (0.0, Duration::ZERO),
-            What::Step(number) => self.mesh.send_event(number, Event::ClockStepped(ORIGIN)),
-            What::Receiver(_) => self.mesh.receiver.mode = ReceiverMode::Answers,
+    fn end(&mut self, action: Action) {
+        match action {
+            Action::Pause(number) => self.mesh.wake(number),
+            Action::Cut(number) => self.mesh.nodes[number].cut = false,
+            Action::DegradeNetwork => (self.mesh.loss, self.mesh.delay) = (0.0, Duration::ZERO),
+            Action::StepClock(number) => self.mesh.send_event(number, Event::ClockStepped(ORIGIN)),
+            Action::Receiver(_) => self.mesh.receiver.mode = ReceiverMode::Answers,
             _ => {}
         }
         let down = |number: &usize| self.mesh.nodes[*number].state.is_none();
-        let dead: Vec<usize> = match what {
-            What::Kill(number) => vec![number],
-            What::KillHall(hall) => (DISKS..TOTAL).filter(|number| number % HALLS == hall).collect(),
-            What::KillAll => (0..TOTAL).collect(),
+        let dead: Vec<usize> = match action {
+            Action::Kill(number) => vec![number],
+            Action::KillHall(hall) => (DISKS..TOTAL).filter(|number| number % HALLS == hall).collect(),
+            Action::KillAll => (0..TOTAL).collect(),
             _ => Vec::new(),
         };
         for number in dead.into_iter().filter(down).collect::<Vec<_>>() {
@@ -252,7 +254,7 @@
     }
 
     fn check(&mut self) -> Result<(), String> {
-        self.note_acknowledged();
+        self.record_acknowledged();
         for number in 0..TOTAL {
             self.check_version(number)?;
             self.check_proof(number)?;
@@ -260,36 +262,36 @@
         self.check_duties()
     }
 
-    /// No report changes, no fence has two holders, and nobody calls on a lease that has ended.
+    /// Checks that no report changes, no fence has two holders and no call is made after the end of a lease.
     fn check_duties(&self) -> Result<(), String> {
         let receiver = &self.mesh.receiver;
-        if let Some(broken) = receiver.violations.first() {
-            return Err(broken.clone());
+        if let Some(violation) = receiver.violations.first() {
+            return Err(violation.clone());
         }
         if receiver.stale > 0 {
             return Err(format!("{} calls came with the fence of an earlier holder", receiver.stale));
         }
         let reported = receiver.reported(ORG);
-        if reported > self.begun {
-            return Err(format!("{reported} requests reported, {} began", self.begun));
+        if reported > self.started {
+            return Err(format!("{reported} requests reported, {} started", self.started));
         }
         Ok(())
     }
 
-    /// Nothing is missing in the reports but what was lost with the instances that began it, and what came after the
-    /// window had to be closed.
+    /// Checks that reports are complete except for requests lost with killed instances or counted after their window
+    /// was closed.
     fn check_reported(&self) -> Result<(), String> {
         let leader = self.mesh.leader().and_then(|number| self.mesh.nodes[number].state.as_ref());
         let late = leader.and_then(|state| state.control.as_ref()).map_or(0, |control| control.ledger.usage.late());
         let (reported, lost) = (self.mesh.receiver.reported(ORG), self.mesh.unreported);
-        if reported + late + lost < self.begun {
-            let begun = self.begun;
-            return Err(format!("{reported} requests reported of {begun}, {late} came late, {lost} were lost"));
+        if reported + late + lost < self.started {
+            let started = self.started;
+            return Err(format!("{reported} requests reported of {started}, {late} came late, {lost} were lost"));
         }
         Ok(())
     }
 
-    fn note_acknowledged(&mut self) {
+    fn record_acknowledged(&mut self) {
         let (now, leader) = (self.mesh.now, self.mesh.leader());
         if leader != self.leader.0 {
             self.leader = (leader, now);
@@ -298,12 +300,12 @@
         self.acknowledged.extend(answers.flatten().map(|version| (version, now)));
         for (ticket, taken) in std::mem::take(&mut self.mesh.registered) {
             if let Some(endpoint) = self.leaving.remove(&ticket).filter(|_| taken) {
-                self.left.push((endpoint, now, leader));
+                self.departed.push((endpoint, now, leader));
             }
         }
     }
 
-    /// Within one life an instance's document only gets newer.
+    /// Checks that the document of an instance never goes back within one start.
     fn check_version(&mut self, number: usize) -> Result<(), String> {
         let Some(state) = &self.mesh.nodes[number].state else { return Ok(()) };
         let (start, version) = (state.me.start, self.mesh.version_at(number));
@@ -315,7 +317,7 @@
         Ok(())
     }
 
-    /// Whoever proves its configuration as of some time has all that was acknowledged before.
+    /// Checks that an instance holds everything acknowledged before the time as of which its configuration is proved.
     fn check_proof(&self, number: usize) -> Result<(), String> {
         let state = self.mesh.nodes[number].state.as_ref();
         let Some(proved) = state.and_then(|state| state.view.proved()) else { return Ok(()) };
@@ -325,7 +327,7 @@
             return Err(format!("instance {number} proves document {version} as of {proved:?}, {newest:?} holds"));
         }
         let known = |at: Duration| at <= proved && at >= self.leader.1;
-        for (endpoint, _, _) in self.left.iter().filter(|(_, at, leader)| known(*at) && *leader == self.leader.0) {
+        for (endpoint, _, _) in self.departed.iter().filter(|(_, at, leader)| known(*at) && *leader == self.leader.0) {
             let phase = self.mesh.phase_at(number, endpoint);
             if phase.is_some_and(|phase| phase < Phase::Leaving) {
                 return Err(format!("instance {number} proves {proved:?} and takes {endpoint} for {phase:?}"));
@@ -340,7 +342,7 @@
         if !stale.is_empty() {
             let named = &stale[..stale.len().min(8)];
             return Err(format!(
-                "no young proof at {} instances, {named:?}; leads: {:?}",
+                "no recent proof at {} instances, {named:?}; leader: {:?}",
                 stale.len(),
                 self.mesh.leader()
             ));
@@ -359,14 +361,14 @@
     }
 }
 
-fn play(seed: u64, steps: &[Step], sabotage: Defect) -> Result<(), String> {
+fn play(seed: u64, steps: &[Step], defect: Defect) -> Result<(), String> {
     let mut fleet = Fleet::start(seed);
-    fleet.mesh.defect = sabotage;
+    fleet.mesh.defect = defect;
     fleet.play(steps)
 }
 
-/// The schedule without the steps that a failure does not need.
-fn shorten(seed: u64, mut steps: Vec<Step>) -> Vec<Step> {
+/// Removes the steps that are not needed for a failure.
+fn minimise(seed: u64, mut steps: Vec<Step>) -> Vec<Step> {
     let mut at = 0;
     while at < steps.len() {
         let mut fewer = steps.clone();
@@ -380,18 +382,18 @@
     steps
 }
 
-fn setting(name: &str, usual: u64) -> u64 {
-    std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(usual)
+fn env_or(name: &str, default: u64) -> u64 {
+    std::env::var(name).ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
 #[test]
-fn what_is_proved_is_had_under_random_faults() {
-    let (first, count) = (setting("RUDDER_SEED", 1), setting("RUDDER_TESTS", 6));
+fn proved_state_is_held_under_random_faults() {
+    let (first, count) = (env_or("RUDDER_SEED", 1), env_or("RUDDER_TESTS", 6));
     for seed in first..first + count {
         let steps = draw_schedule(seed);
-        let Err(broken) = play(seed, &steps, Defect::None) else { continue };
-        let mut text = format!("seed {seed}: {broken}\n");
-        for step in shorten(seed, steps) {
+        let Err(violation) = play(seed, &steps, Defect::None) else { continue };
+        let mut text = format!("seed {seed}: {violation}\n");
+        for step in minimise(seed, steps) {
             let _ = writeln!(text, "{step:?}");
         }
         panic!("{text}");
@@ -399,11 +401,11 @@
 }
 
 macro_rules! caught {
-    ($($name:ident: $sabotage:expr;)*) => {
+    ($($name:ident: $defect:expr;)*) => {
         $(
             #[test]
             fn $name() {
-                let caught = (1..40).any(|seed| play(seed, &draw_schedule(seed), $sabotage).is_err());
+                let caught = (1..40).any(|seed| play(seed, &draw_schedule(seed), $defect).is_err());
                 assert!(caught);
             }
         )*
@@ -411,6 +413,6 @@
 }
 
 caught! {
-    relays_that_claim_new_proof_are_caught: Defect::FreshRelayProofs;
+    relays_that_claim_a_fresh_proof_are_caught: Defect::FreshRelayProofs;
     requests_that_are_counted_twice_are_caught: Defect::DoubleCounts;
 }
--- a/crates/rudder-core/tests/matrix.rs
+++ b/crates/rudder-core/tests/matrix.rs
@@ -1,6 +1,6 @@
-//! The fault matrix: every fault at every step of a call that may not be repeated, of a change and of
-//! a leaving endpoint. The promises are asserted throughout by the world; each cell also retries the
-//! call elsewhere, sends the change again, and asks for recovery at the end.
+//! The fault matrix: every fault at every step of a call with an idempotency key, of a change and of the departure of
+//! an endpoint. The world asserts the promises throughout; each cell also retries the call and the change at other
+//! instances and checks the recovery.
 
 mod world;
 
@@ -20,20 +20,20 @@
     Change { id: "leave".to_owned(), kind: Kind::Endpoint, name: "app-2".to_owned(), replaces: 1, object }
 }
 
-/// One cell with one seed.
-fn cell(step: Step, fault: Fault, seed: u64) {
+/// Runs one cell of the matrix with one seed.
+fn run_cell(step: Step, fault: Fault, seed: u64) {
     let mut world = World::ready(seed);
-    world.trap = Some((step, fault));
+    world.pending_fault = Some((step, fault));
     let first = world.call(7, Some(KEY)).expect("node 7 runs");
     world.change(8, selector("cell"));
     world.change(8, leaving());
     world.advance(1500);
-    // The caller and the operator lost their answers and try elsewhere, while the fault goes on.
+    // The caller and the operator retry at other instances while the fault persists.
     world.call(4, Some(KEY));
     world.call(6, Some(KEY));
     world.change(6, selector("cell"));
     world.advance(9000);
-    assert!(world.sprung, "{step:?} was never reached");
+    assert!(world.fault_injected, "{step:?} was never reached");
     world.heal();
     world.advance(30_000);
     world.heal();
@@ -42,15 +42,15 @@
     let last = world.call(3, Some(KEY)).expect("node 3 runs");
     let other = world.call(2, Some("another")).expect("node 2 runs");
     world.advance(7000);
-    assert!(world.accepted("cell").is_some(), "the change never got its answer");
-    let answered = |request| world.calls[&request].finals == 1;
+    assert!(world.answer_to("cell").is_some(), "the change never got its answer");
+    let answered = |request| world.calls[&request].answer_count == 1;
     assert!(answered(last) && answered(other), "no answer after recovery");
     assert_eq!(world.calls[&other].refused, None, "new work is refused after recovery");
-    // After recovery the key is done, or its fate is told as unknown: never "not run" of what ran.
+    // After recovery the key has an answer, or its outcome is unknown, but never "not run".
     let runs = world.runs.get(KEY).copied().unwrap_or(0);
-    let told = world.calls[&last].refused;
-    assert!(told != Some(Ran::No), "the key cannot be used any more: {runs} runs, {told:?}");
-    assert!(runs <= 1 && world.calls[&first].finals <= 1);
+    let refused = world.calls[&last].refused;
+    assert!(refused != Some(Ran::No), "the key cannot be used any more: {runs} runs, {refused:?}");
+    assert!(runs <= 1 && world.calls[&first].answer_count <= 1);
 }
 
 macro_rules! matrix {
@@ -59,7 +59,7 @@
         fn $name() {
             for fault in FAULTS {
                 for seed in 0..3 {
-                    cell(Step::$step, fault, seed);
+                    run_cell(Step::$step, fault, seed);
                 }
             }
         })*
--- a/crates/rudder-core/tests/mesh/mod.rs
+++ b/crates/rudder-core/tests/mesh/mod.rs
@@ -1,5 +1,5 @@
-//! Reducers on a network in virtual time: every message takes one millisecond, every save two. Instances can be killed,
-//! wiped, paused, cut off and started again with other seeds; messages can be lost or held up.
+//! A simulated network of instances in virtual time: every message takes one millisecond, every save two. Instances can
+//! be killed, wiped, paused, partitioned and restarted with other seeds; messages can be lost or delayed.
 #![allow(dead_code, reason = "each test uses a part")]
 
 pub mod receiver;
@@ -18,50 +18,50 @@
 
 use self::receiver::Receiver;
 
-/// Time that a message takes.
+/// Latency of a message.
 const LINK: Duration = Duration::from_millis(1);
-/// Time that a save takes.
+/// Latency of a save.
 const SYNC: Duration = Duration::from_millis(2);
-/// Time between ticks.
+/// Interval between ticks.
 const TICK: Duration = Duration::from_millis(50);
 
-/// One save that is not yet durable.
+/// A save that is not durable yet.
 struct Pending {
     number: u64,
     snapshot: Option<Snapshot>,
     records: Vec<Record>,
 }
 
-/// One instance and what its disk holds.
+/// An instance and the content of its disk.
 pub struct Node {
     /// Its name.
     pub name: InstanceId,
-    /// Its state, while it runs.
+    /// Its state while it is running.
     pub state: Option<State>,
-    /// Its replica's id and what is durable, where it has a disk.
+    /// Its replica id and durable state, if it has a disk.
     pub disk: Option<(u64, Durable)>,
-    /// Instances it starts from.
+    /// The instances that it contacts first.
     pub seeds: Vec<InstanceId>,
-    /// Neither sends nor receives.
+    /// It is partitioned from all others.
     pub cut: bool,
-    /// Its disk answers nothing.
+    /// Its disk does not complete saves.
     pub stalled: bool,
-    /// It stands still; what comes in waits.
+    /// It is paused; incoming events are held.
     pub paused: bool,
     held: Vec<Event>,
     starts: u64,
     saves: Vec<Pending>,
 }
 
-/// What comes in at a time.
+/// Something that is due at a given time.
 enum Delivery {
     Message(usize, u64, InstanceId, Box<PeerMessage>),
-    /// A call of an instance's duty is at the connection, about to be written.
+    /// A call of a duty is about to be written to its connection.
     Call(usize, u64, u64, u64, Box<DutyCall>),
     Saved(usize, u64, u64),
 }
 
-/// Messages and bytes that an instance got or sent.
+/// Number and size of messages sent by an instance.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Traffic {
     /// Messages.
@@ -70,29 +70,29 @@
     pub bytes: u64,
 }
 
-/// What is broken on purpose, to show that the checks bite.
+/// A deliberate defect, which the checks must catch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
-    /// Nothing.
+    /// No defect.
     None,
-    /// Relays claim that their proof is new.
+    /// Relays claim that their proof is fresh.
     FreshRelayProofs,
-    /// Instances make their calls whether or not they hold the lease.
+    /// Instances make calls of duties without holding the lease.
     CallsWithoutLease,
-    /// Instances tell each request that begins twice.
+    /// Instances count each request twice.
     DoubleCounts,
 }
 
-/// What a mesh is made of.
+/// The composition of a mesh.
 #[derive(Clone, Debug)]
 pub struct Layout {
-    /// Halls that the instances are divided among.
+    /// Number of halls.
     pub halls: usize,
-    /// Instances.
+    /// Number of instances.
     pub total: usize,
-    /// Those of them with a disk, the first ones.
+    /// Number of instances with a disk; these are the first ones.
     pub disks: usize,
-    /// Voters wanted.
+    /// Number of voters.
     pub voters: usize,
     /// Duties that one instance holds for all.
     pub duties: DutyOptions,
@@ -104,35 +104,35 @@
     }
 }
 
-/// All instances.
+/// A simulated system of instances.
 pub struct Mesh {
     /// The instances; the first ones have disks.
     pub nodes: Vec<Node>,
     /// Virtual time.
     pub now: Duration,
-    /// Answers to documents, by ticket.
+    /// Answers to documents by ticket.
     pub documented: BTreeMap<u64, Option<u64>>,
-    /// Whether the log holds each order of an evacuation.
+    /// Answers to evacuation orders by ticket.
     pub evacuated: BTreeMap<u64, bool>,
-    /// Answers to heartbeats, by ticket.
+    /// Answers to heartbeats by ticket.
     pub registered: BTreeMap<u64, bool>,
-    /// Answers to requests for permits, by ticket.
+    /// Answers to permit requests by ticket.
     pub permitted: BTreeMap<u64, PermitAnswer>,
-    /// What each instance sent, by kind of message.
+    /// Messages sent, by instance and kind.
     pub sent: BTreeMap<(usize, &'static str), Traffic>,
-    /// Halls that the instances are divided among.
+    /// Number of halls.
     pub halls: usize,
-    /// Share of messages that are lost.
+    /// Probability that a message is lost.
     pub loss: f64,
-    /// Time that a message takes beyond the usual, at most.
+    /// Maximum additional latency of a message.
     pub delay: Duration,
-    /// Requests that had begun at instances that were killed and that the log may not hold.
+    /// Number of requests started at killed instances that may not be committed.
     pub unreported: u64,
-    /// Who takes the calls of duties.
+    /// The receiver of the calls of duties.
     pub receiver: Receiver,
-    /// Orders of engines at full price take 20 ms longer, so that others overtake them.
+    /// Delays orders of full-price engines by 20 ms, so that other orders overtake them.
     pub reorder_calls: bool,
-    /// What is broken on purpose.
+    /// A deliberate defect.
     pub defect: Defect,
     rng: Pcg32,
     layout: Layout,
@@ -142,12 +142,12 @@
     founding: bool,
 }
 
-/// Name of the instance with this number.
+/// Returns the name of the instance with this number.
 pub fn name(number: usize) -> InstanceId {
     InstanceId::from(format!("10.0.0.{number}:7000"))
 }
 
-/// A ready endpoint of the service `model` with eight slots, alone at its address.
+/// A ready endpoint of the service `model` with eight slots and an address of its own.
 pub fn registration(endpoint: &str, hall: &str) -> Registration {
     Registration {
         endpoint: endpoint.into(),
@@ -164,10 +164,10 @@
     }
 }
 
-/// The question of an instance that holds nothing yet.
-pub fn question(asker: &str, round: u64, start: u64) -> WatchRequest {
+/// The watch request of an instance that holds nothing yet.
+pub fn watch_request(name: &str, round: u64, start: u64) -> WatchRequest {
     let listing = Listing {
-        name: asker.into(),
+        name: name.into(),
         hall: "hall-0".into(),
         address: Some("caller".to_owned()),
         start,
@@ -192,26 +192,26 @@
 }
 
 impl Mesh {
-    /// Asks an instance and returns its answer.
-    pub fn ask(&mut self, number: usize, question: WatchRequest) -> WatchReply {
-        let from = question.listing.name.clone();
+    /// Sends a watch request to an instance and returns its reply.
+    pub fn watch(&mut self, number: usize, request: WatchRequest) -> WatchReply {
+        let from = request.listing.name.clone();
         let mut effects = Vec::new();
-        let state = self.nodes[number].state.as_mut().expect("it runs");
-        let message = PeerMessage::WatchRequest(Box::new(question));
+        let state = self.nodes[number].state.as_mut().expect("running instance");
+        let message = PeerMessage::WatchRequest(Box::new(request));
         state.reduce(self.now, Event::Peer { from, message }, &mut effects);
-        let answer = effects.into_iter().find_map(|effect| match effect {
-            Effect::Send { message: PeerMessage::WatchReply(watched), .. } => Some(*watched),
+        let reply = effects.into_iter().find_map(|effect| match effect {
+            Effect::Send { message: PeerMessage::WatchReply(reply), .. } => Some(*reply),
             _ => None,
         });
-        answer.expect("it answers")
+        reply.expect("a watch reply")
     }
 
-    /// Starts `total` instances, the first `disks` of them with a disk and as seeds.
+    /// Starts `total` instances, the first `disks` of them with a disk; up to three of these are the seeds.
     pub fn start(total: usize, disks: usize) -> Mesh {
         Mesh::start_in(3, total, disks)
     }
 
-    /// The same in so many halls.
+    /// The same with a given number of halls.
     pub fn start_in(halls: usize, total: usize, disks: usize) -> Mesh {
         Mesh::start_as(Layout { halls, total, disks, ..Layout::default() })
     }
@@ -261,7 +261,7 @@
         mesh
     }
 
-    /// Starts an instance that does not run, with what its disk holds.
+    /// Starts a stopped instance with the content of its disk.
     pub fn boot(&mut self, number: usize) {
         let (now, founding) = (self.now, self.founding);
         let (voters, duties) = (self.layout.voters, self.layout.duties.clone());
@@ -284,7 +284,7 @@
             replica: rudder_replica::Options {
                 replace: Duration::from_millis(1500),
                 voters,
-                // Mixed with the replica's id, seeds that rise as the ids do would be the same for several.
+                // The replica mixes its id into the seed, so sequential seeds could collide.
                 seed: rudder_model::id::rendezvous("seed", &node.name) ^ node.starts,
                 ..rudder_replica::Options::default()
             },
@@ -293,12 +293,12 @@
         node.state = Some(State::new(now, me, options, node.disk.clone()));
     }
 
-    /// Draws the luck of the network anew.
+    /// Seeds the random faults of the network.
     pub fn seed(&mut self, seed: u64) {
         self.rng = Pcg32::seed_from_u64(seed);
     }
 
-    /// Ends an instance without a word; saves under way are lost.
+    /// Kills an instance; pending saves are lost.
     pub fn kill(&mut self, number: usize) {
         self.unreported += self.nodes[number].state.take().map_or(0, |state| state.unreported_requests());
         self.nodes[number].paused = false;
@@ -306,13 +306,13 @@
         self.nodes[number].saves.clear();
     }
 
-    /// Empties the disk of an instance that does not run.
+    /// Empties the disk of a stopped instance.
     pub fn wipe(&mut self, number: usize) {
         let fresh = 5000 + self.count;
         self.nodes[number].disk = Some((fresh, Durable::default()));
     }
 
-    /// Lets an instance that stands still go on, with all that came in meanwhile.
+    /// Resumes a paused instance, which handles all held events.
     pub fn wake(&mut self, number: usize) {
         self.nodes[number].paused = false;
         for event in std::mem::take(&mut self.nodes[number].held) {
@@ -320,7 +320,7 @@
         }
     }
 
-    /// Gives an event to an instance.
+    /// Delivers an event to an instance.
     pub fn send_event(&mut self, number: usize, event: Event) {
         if self.nodes[number].paused {
             if !matches!(event, Event::Tick) {
@@ -336,14 +336,14 @@
         }
     }
 
-    /// A request of `org` begins to run now, sent by an instance.
+    /// Starts a request of `org` at an instance.
     pub fn begin_request(&mut self, number: usize, org: &str) {
         let count = if self.defect == Defect::DoubleCounts { 2 } else { 1 };
         let begun = StartedRequest { org: org.into(), at: self.now };
         self.send_event(number, Event::RequestsStarted(vec![begun; count]));
     }
 
-    /// True where an instance may write a call of its duty now.
+    /// Returns whether an instance may write a call of its duty now.
     fn may_call(&self, number: usize) -> bool {
         let control = self.nodes[number].state.as_ref().and_then(|state| state.control.as_ref());
         control.is_some_and(|control| {
@@ -351,7 +351,7 @@
         })
     }
 
-    /// Lets time pass.
+    /// Advances time.
     pub fn run(&mut self, span: Duration) {
         let end = self.now + span;
         while self.now < end {
@@ -374,24 +374,24 @@
         }
     }
 
-    /// Sends a document to an instance.
+    /// Submits a document to an instance.
     pub fn put(&mut self, number: usize, ticket: u64, version: u64, body: &str) {
         let document = Document::new(version, body.as_bytes().to_vec());
         self.send_event(number, Event::PutDocument { ticket, document });
     }
 
-    /// Version of the document in force at an instance.
+    /// Returns the version of the document in force at an instance.
     pub fn version_at(&self, number: usize) -> u64 {
         let document = self.nodes[number].state.as_ref().and_then(|state| state.view.document.as_ref());
         document.map_or(0, |document| document.version)
     }
 
-    /// True where an instance can prove its configuration young.
+    /// Returns whether the configuration at an instance is proved to be at most `bound` old.
     pub fn is_fresh(&self, number: usize, bound: Duration) -> bool {
         self.nodes[number].state.as_ref().is_some_and(|state| state.view.is_fresh(self.now, bound))
     }
 
-    /// The instance that leads, if one does.
+    /// Returns the leader, if there is one.
     pub fn leader(&self) -> Option<usize> {
         self.nodes.iter().position(|node| {
             let control = node.state.as_ref().and_then(|state| state.control.as_ref());
@@ -399,7 +399,7 @@
         })
     }
 
-    /// Ends all processes at once and starts them again.
+    /// Kills all instances and starts them again.
     pub fn restart_all(&mut self) {
         for number in 0..self.nodes.len() {
             self.kill(number);
@@ -409,12 +409,12 @@
         }
     }
 
-    /// A heartbeat of `endpoint` at an instance.
+    /// Sends a heartbeat of `endpoint` to an instance.
     pub fn heartbeat(&mut self, number: usize, ticket: u64, endpoint: &str, phase: Phase, sequence: u64) {
         self.heartbeat_from(number, ticket, (endpoint, endpoint), phase, sequence);
     }
 
-    /// A heartbeat of an endpoint at an address, at an instance.
+    /// Sends a heartbeat of an endpoint with a given address to an instance.
     pub fn heartbeat_from(
         &mut self,
         number: usize,
@@ -428,7 +428,7 @@
         self.send_event(number, Event::Register { ticket, registration });
     }
 
-    /// A heartbeat of the life of endpoint "e-1" that began at `born`, at an address of its own, at an instance.
+    /// Sends a heartbeat of the life of endpoint "e-1" that began at `born`, with an address of its own.
     pub fn life_beat(&mut self, number: usize, born: u64, phase: Phase, sequence: u64) {
         let life = id::life_id("e-1", Some(born));
         let address = format!("at-{born}").into();
@@ -436,23 +436,23 @@
         self.send_event(number, Event::Register { ticket: 900 + sequence, registration });
     }
 
-    /// What an instance sent of one kind of message.
+    /// Returns the messages of one kind sent by an instance.
     pub fn sent_by(&self, number: usize, kind: &'static str) -> Traffic {
         self.sent.get(&(number, kind)).copied().unwrap_or_default()
     }
 
-    /// Where `endpoint` stands at an instance.
+    /// Returns the phase of `endpoint` as known at an instance.
     pub fn phase_at(&self, number: usize, endpoint: &str) -> Option<Phase> {
         let state = self.nodes[number].state.as_ref()?;
         state.view.registry.iter().find(|held| *held.endpoint == *endpoint).map(|held| held.phase)
     }
 
-    /// The relays that an instance asks.
+    /// Returns the relays of an instance.
     pub fn relays_at(&self, number: usize) -> Vec<InstanceId> {
         self.nodes[number].state.as_ref().map(|state| state.view.relays().to_vec()).unwrap_or_default()
     }
 
-    /// Number of the instance called `name`.
+    /// Returns the number of the instance called `name`.
     pub fn number_of(&self, name: &str) -> Option<usize> {
         self.nodes.iter().position(|node| *node.name == *name)
     }
@@ -465,7 +465,7 @@
     fn carry_out(&mut self, number: usize, effect: Effect) {
         match effect {
             Effect::Send { to, message } => {
-                let bytes = rmp_serde::to_vec(&message).expect("messages hold only plain data").len();
+                let bytes = rmp_serde::to_vec(&message).expect("messages are serializable").len();
                 let sent = self.sent.entry((number, message.kind())).or_default();
                 sent.messages += 1;
                 sent.bytes += bytes as u64;
@@ -499,10 +499,11 @@
         }
     }
 
+    /// Applies the defect to a message.
     fn tamper(&self, message: PeerMessage) -> PeerMessage {
         match message {
-            PeerMessage::WatchReply(watched) if self.defect == Defect::FreshRelayProofs => {
-                PeerMessage::WatchReply(Box::new(WatchReply { age: Duration::ZERO, ..*watched }))
+            PeerMessage::WatchReply(reply) if self.defect == Defect::FreshRelayProofs => {
+                PeerMessage::WatchReply(Box::new(WatchReply { age: Duration::ZERO, ..*reply }))
             }
             message => message,
         }
@@ -529,14 +530,14 @@
         }
     }
 
-    /// Writes a call, if the lease still allows it, and tells its outcome.
+    /// Writes a call if the lease is still valid and reports its outcome.
     fn call(&mut self, number: usize, starts: u64, ticket: u64, fence: u64, call: DutyCall) {
         let node = &self.nodes[number];
         if node.starts != starts || node.state.is_none() {
             return;
         }
         if node.paused {
-            // It goes on where it stood when it wakes.
+            // The call is written after the pause.
             self.schedule(TICK, Delivery::Call(number, starts, ticket, fence, Box::new(call)));
             return;
         }
--- a/crates/rudder-core/tests/mesh/receiver.rs
+++ b/crates/rudder-core/tests/mesh/receiver.rs
@@ -1,5 +1,5 @@
-//! Who takes the calls that one instance makes for all, and judges them: a report never changes, a fence belongs to one
-//! instance, and two instances never act by turns within the handover time.
+//! The receiver of the calls of duties, which checks their rules: a report never changes, a fence belongs to one
+//! instance, and two instances never alternate within the handover time.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -10,34 +10,34 @@
 use rudder_ledger::{Counts, Window};
 use rudder_model::HallId;
 
-/// Two holders that act by turns within this time break the rule.
+/// Time within which two holders must not alternate.
 pub const HANDOVER: Duration = Duration::from_secs(3);
 
-/// Engines of a hall at most, both kinds together.
-pub const ENGINES_MOST: u32 = 40;
+/// Maximum number of engines of a hall, both kinds together.
+pub const MAX_ENGINES: u32 = 40;
 
-/// How it answers.
+/// How the receiver answers calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ReceiverMode {
-    /// At once.
+    /// It carries calls out and answers at once.
     #[default]
     Answers,
     /// It carries calls out, but its answers are lost.
     Mute,
-    /// It takes no calls.
+    /// It answers that it is busy.
     Busy,
-    /// It cannot be reached.
+    /// It is unreachable.
     Down,
-    /// It carries calls out 4 s after they came, and answers nothing.
+    /// It carries calls out after 4 s and does not answer.
     Late,
 }
 
-/// A call that was carried out.
+/// A call that was received.
 #[derive(Clone, Debug)]
 pub struct ReceivedCall {
-    /// When it came.
+    /// Time of arrival.
     pub at: Duration,
-    /// By which instance.
+    /// The calling instance.
     pub by: usize,
     /// Its fence.
     pub fence: u64,
@@ -45,72 +45,72 @@
     pub call: DutyCall,
 }
 
-/// Takes the calls.
+/// Receives the calls of duties.
 #[derive(Debug, Default)]
 pub struct Receiver {
-    /// How it answers.
+    /// How it answers calls.
     pub mode: ReceiverMode,
-    /// Calls that came, in order, those with a low fence left out.
+    /// Calls carried out, in order; excludes those with an outdated fence.
     pub calls: Vec<ReceivedCall>,
-    /// Reports carried out.
+    /// Reports received, by window.
     pub reports: BTreeMap<Window, Counts>,
-    /// Engines ordered, by hall and kind: true for those that may be taken away.
+    /// Engines ordered, by hall and kind; true for the cheap kind, which may be taken away.
     pub ordered: BTreeMap<(HallId, bool), u32>,
-    /// Halls in which none of those are to be had.
+    /// Halls without available cheap engines.
     pub barred: BTreeSet<HallId>,
-    /// Calls that came with a fence lower than one seen.
+    /// Number of calls with an outdated fence.
     pub stale: u64,
-    /// What broke a rule.
+    /// Violations of the rules.
     pub violations: Vec<String>,
     /// Calls to carry out later.
     late: Vec<(Duration, ReceivedCall)>,
-    /// The highest fence seen, by subject: the reports together, the orders of each hall.
+    /// Highest fence by subject: `None` for reports, otherwise the hall of an order.
     highest: BTreeMap<Option<HallId>, u64>,
 }
 
 impl Receiver {
-    /// Records a call that `by` writes.
+    /// Handles a call written by `by`.
     pub fn take(&mut self, now: Duration, by: usize, fence: u64, call: DutyCall, reached: bool) -> CallOutcome {
-        self.carry_out_late(now);
-        let made = ReceivedCall { at: now, by, fence, call };
+        self.carry_out_due(now);
+        let received = ReceivedCall { at: now, by, fence, call };
         match self.mode {
             _ if !reached => CallOutcome::Unknown,
             ReceiverMode::Down => CallOutcome::Unknown,
             ReceiverMode::Busy => CallOutcome::Busy,
-            ReceiverMode::Answers => self.carry_out(made),
+            ReceiverMode::Answers => self.carry_out(received),
             ReceiverMode::Mute => {
-                self.carry_out(made);
+                self.carry_out(received);
                 CallOutcome::Unknown
             }
             ReceiverMode::Late => {
-                self.late.push((now + Duration::from_secs(4), made));
+                self.late.push((now + Duration::from_secs(4), received));
                 CallOutcome::Unknown
             }
         }
     }
 
-    /// Carries out what has waited long enough.
-    pub fn carry_out_late(&mut self, now: Duration) {
+    /// Carries out delayed calls that are due.
+    pub fn carry_out_due(&mut self, now: Duration) {
         let (due, rest) = std::mem::take(&mut self.late).into_iter().partition(|(at, _)| *at <= now);
         self.late = rest;
-        for (_, made) in due {
-            self.carry_out(made);
+        for (_, received) in due {
+            self.carry_out(received);
         }
     }
 
-    fn carry_out(&mut self, made: ReceivedCall) -> CallOutcome {
-        let subject = match &made.call {
+    fn carry_out(&mut self, received: ReceivedCall) -> CallOutcome {
+        let subject = match &received.call {
             DutyCall::Usage { .. } => None,
             DutyCall::Scale { hall, .. } => Some(hall.clone()),
         };
         let highest = self.highest.entry(subject).or_default();
-        if made.fence < *highest {
+        if received.fence < *highest {
             self.stale += 1;
             return CallOutcome::Outranked;
         }
-        *highest = made.fence;
-        self.judge(&made);
-        let outcome = match &made.call {
+        *highest = received.fence;
+        self.check_rules(&received);
+        let outcome = match &received.call {
             DutyCall::Usage { window, counts } => {
                 let held = self.reports.entry(*window).or_insert_with(|| counts.clone());
                 if held != counts {
@@ -123,28 +123,28 @@
             }
             DutyCall::Scale { hall, cheap, count, .. } => {
                 let other = self.ordered.get(&(hall.clone(), !cheap)).copied().unwrap_or_default();
-                // Both kinds share a bound; an order beyond it is cut.
-                self.ordered.insert((hall.clone(), *cheap), (*count).min(ENGINES_MOST.saturating_sub(other)));
+                // Both kinds share one limit.
+                self.ordered.insert((hall.clone(), *cheap), (*count).min(MAX_ENGINES.saturating_sub(other)));
                 CallOutcome::Taken
             }
         };
-        self.calls.push(made);
+        self.calls.push(received);
         outcome
     }
 
-    fn judge(&mut self, made: &ReceivedCall) {
-        if let Some(other) = self.calls.iter().find(|held| held.fence == made.fence && held.by != made.by) {
-            self.violations.push(format!("fence {} was used by {} and {}", made.fence, other.by, made.by));
+    fn check_rules(&mut self, received: &ReceivedCall) {
+        if let Some(other) = self.calls.iter().find(|held| held.fence == received.fence && held.by != received.by) {
+            self.violations.push(format!("fence {} was used by {} and {}", received.fence, other.by, received.by));
         }
-        let recent = || self.calls.iter().rev().take_while(|held| made.at < held.at + HANDOVER);
-        let between = recent().find(|held| held.by != made.by);
+        let recent = || self.calls.iter().rev().take_while(|held| received.at < held.at + HANDOVER);
+        let between = recent().find(|held| held.by != received.by);
         let Some(between) = between else { return };
-        if recent().any(|held| held.by == made.by && held.at <= between.at) {
-            self.violations.push(format!("{} and {} acted by turns until {:?}", made.by, between.by, made.at));
+        if recent().any(|held| held.by == received.by && held.at <= between.at) {
+            self.violations.push(format!("{} and {} alternated until {:?}", received.by, between.by, received.at));
         }
     }
 
-    /// Requests reported for `org` in all windows.
+    /// Returns the number of requests reported for `org` over all windows.
     pub fn reported(&self, org: &str) -> u64 {
         self.reports.values().filter_map(|counts| counts.get(org)).sum()
     }
--- a/crates/rudder-core/tests/registry.rs
+++ b/crates/rudder-core/tests/registry.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use mesh::{Mesh, question};
+use mesh::{Mesh, watch_request};
 use rudder_core::{Phase, Registration, WatchRequest};
 
 /// Nine instances that know each other and one ready endpoint.
@@ -144,7 +144,7 @@
     }
     let leader = mesh.leader().expect("one leads now");
     let gone = Registration::end_of("e-1", None, "hall-0".into());
-    let answer = mesh.ask(leader, WatchRequest { heartbeats: vec![gone], ..question("caller", 1, 9) });
+    let answer = mesh.watch(leader, WatchRequest { heartbeats: vec![gone], ..watch_request("caller", 1, 9) });
     assert!(answer.registry.is_some_and(|news| news.entries.iter().any(|told| told.value.phase == Phase::Gone)));
     // An earlier heartbeat comes after it.
     mesh.run(Duration::from_millis(100));
@@ -160,7 +160,7 @@
     let mut mesh = start();
     let leader = mesh.leader().expect("one leads");
     let ask = |mesh: &mut Mesh, round: u64| {
-        let watched = mesh.ask(leader, question("10.0.9.9:7000", round, 5));
+        let watched = mesh.watch(leader, watch_request("10.0.9.9:7000", round, 5));
         (watched.directory.is_some(), watched.registry.is_some(), watched.pending)
     };
     assert_eq!(ask(&mut mesh, 1), (true, true, false));
--- a/crates/rudder-core/tests/seeds.rs
+++ b/crates/rudder-core/tests/seeds.rs
@@ -1,4 +1,4 @@
-//! Finding each other: seeds that are down, that know nothing, or that were exchanged.
+//! Finding the leader with seeds that are down, have no disk or were replaced.
 
 mod mesh;
 
@@ -6,11 +6,11 @@
 
 use mesh::{Mesh, name};
 
-const YOUNG: Duration = Duration::from_secs(1);
+const MAX_AGE: Duration = Duration::from_secs(1);
 
-/// Instances that cannot prove their configuration young.
+/// Returns the instances without a recent proof of their configuration.
 fn stale(mesh: &Mesh) -> Vec<usize> {
-    (0..mesh.nodes.len()).filter(|number| !mesh.is_fresh(*number, YOUNG)).collect()
+    (0..mesh.nodes.len()).filter(|number| !mesh.is_fresh(*number, MAX_AGE)).collect()
 }
 
 #[test]
@@ -21,8 +21,7 @@
     assert_eq!(stale(&mesh), Vec::<usize>::new());
 }
 
-/// Seeds exchanged for instances without a disk, then power lost everywhere: nobody whom the others
-/// ask knows the voters, so the leader has to tell the seeds of itself.
+/// Guards against a restart in which no seed knows the voters: the leader has to announce itself to the seeds.
 #[test]
 fn all_find_the_leader_through_seeds_without_disks() {
     let mut mesh = Mesh::start(9, 3);
@@ -36,7 +35,7 @@
     }
     mesh.run(Duration::from_secs(4));
     assert!(mesh.leader().is_some());
-    assert_eq!(stale(&mesh), Vec::<usize>::new(), "these do not find the leader");
+    assert_eq!(stale(&mesh), Vec::<usize>::new(), "instances that have not found the leader");
 }
 
 #[test]
@@ -47,5 +46,5 @@
     mesh.nodes[8].seeds = vec![name(20), name(21), name(5)];
     mesh.boot(8);
     mesh.run(Duration::from_secs(4));
-    assert!(mesh.is_fresh(8, YOUNG));
+    assert!(mesh.is_fresh(8, MAX_AGE));
 }
--- a/crates/rudder-core/tests/single/mod.rs
+++ b/crates/rudder-core/tests/single/mod.rs
@@ -1,4 +1,4 @@
-//! One instance that is its own quorum: saves are durable at once, time is virtual.
+//! A single instance that forms a quorum by itself. Saves are durable at once, and time is virtual.
 #![allow(dead_code, reason = "each test file uses its own part")]
 
 use std::time::Duration;
@@ -10,7 +10,7 @@
 
 pub const LOAD_INTERVAL: Duration = Duration::from_secs(2);
 
-/// An order with the time at which it was given.
+/// An order and the time at which it was issued.
 #[derive(Debug)]
 pub struct Order {
     pub at: Duration,
@@ -23,14 +23,14 @@
     pub now: Duration,
     pub verdicts: Vec<(RequestId, Verdict)>,
     pub orders: Vec<Order>,
-    /// When it began to lead.
+    /// Start of its leadership.
     pub led: Duration,
-    /// What every endpoint says it has loaded.
+    /// What every endpoint reports as loaded.
     pub loaded: &'static str,
 }
 
 impl SingleInstance {
-    /// An instance that leads.
+    /// Creates an instance and runs it until it leads.
     pub fn new() -> SingleInstance {
         let me =
             Me { name: "a".into(), hall: "h".into(), start: 1, address: Some("a".to_owned()), epoch: Duration::ZERO };
@@ -44,7 +44,7 @@
         };
         let now = Duration::from_secs(1);
         let state = State::new(now, me, options, Some((1, Durable::default())));
-        let mut alone = SingleInstance {
+        let mut instance = SingleInstance {
             state,
             now,
             verdicts: Vec::new(),
@@ -52,10 +52,10 @@
             led: Duration::ZERO,
             loaded: "m:v1",
         };
-        while alone.led.is_zero() {
-            alone.tick();
+        while instance.led.is_zero() {
+            instance.tick();
         }
-        alone
+        instance
     }
 
     pub fn put(&mut self, name: &str, object: Object) {
@@ -98,7 +98,7 @@
     }
 }
 
-/// An engine of the one hall, with nothing behind its address.
+/// An engine of the only hall; nothing listens at its address.
 pub fn engine() -> Endpoint {
     Endpoint { hall: "h".into(), address: "127.0.0.1:9".to_owned(), serves: vec!["m".into()], ..Endpoint::default() }
 }
--- a/crates/rudder-core/tests/world/mod.rs
+++ b/crates/rudder-core/tests/world/mod.rs
@@ -1,5 +1,5 @@
-//! A few reducers, a lossy queue between them, fake disks and fake endpoints, with the promises
-//! asserted from outside. Time is virtual; the same seed gives the same run.
+//! A simulation of nine instances with a lossy network, fake disks and fake endpoints, which asserts the promises from
+//! the outside. Time is virtual, and the same seed gives the same run.
 #![allow(dead_code, reason = "each test file uses its own part")]
 
 use std::{
@@ -23,15 +23,15 @@
 const HALLS: [&str; 3] = ["hervanta", "lielahti", "kaukajarvi"];
 const SERVICE: &str = "service/lasku";
 
-/// A rule broken on purpose at an interface, to show that the checks bite.
+/// A deliberate defect at an interface, which the checks must catch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sabotage {
+pub enum Defect {
     None,
-    /// Disks report saves as durable that they lose in a crash.
+    /// Disks report saves as durable but lose them in a crash.
     LyingDisk,
-    /// An endpoint failure is reported as "never sent" though it was.
+    /// Endpoint failures are reported as "never sent" although the request was sent.
     LyingFailure,
-    /// Answers to watchers are delivered as answers to later questions.
+    /// Watch replies are delivered again as replies to later requests.
     OldAnswers,
 }
 
@@ -44,28 +44,28 @@
     Refuses,
 }
 
-/// A step of the system's work, seen by the effect that ends it.
+/// A step of processing, identified by the effect that completes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// A claim or change is on its way to the leader.
+    /// A claim or change is sent to the leader.
     Proposed,
-    /// The leader has handed it to its disk.
+    /// The leader saves it.
     Saving,
-    /// The leader has answered it.
+    /// The leader answers it.
     Answered,
-    /// A slot was asked for.
+    /// A slot is requested.
     Asked,
-    /// A slot was granted.
+    /// A slot is granted.
     Granted,
-    /// The request was sent to an endpoint.
+    /// The request is sent to an endpoint.
     Dispatched,
-    /// The end of a request is on its way to the leader.
+    /// The outcome of a request is sent to the leader.
     Finishing,
-    /// A watcher got newer configuration.
+    /// A watcher is sent newer configuration.
     Distributed,
 }
 
-/// Something that breaks.
+/// A fault to inject. The actor is the instance whose effect completed the step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     CrashActor,
@@ -91,13 +91,13 @@
 pub struct Disk {
     id: u64,
     durable: Durable,
-    /// What a crash leaves; the same as `durable` unless the disk lies.
+    /// Content after a crash; the same as `durable` unless the disk is defective.
     synced: Durable,
     pending: Vec<(u64, Save)>,
     pub full: bool,
 }
 
-pub struct Seat {
+pub struct Node {
     pub name: InstanceId,
     hall: usize,
     pub disk: Option<Disk>,
@@ -111,7 +111,7 @@
 pub struct CallRecord {
     pub key: Option<String>,
     pub node: usize,
-    pub finals: u32,
+    pub answer_count: u32,
     pub refused: Option<Ran>,
     pub runs: u32,
 }
@@ -125,7 +125,7 @@
 pub struct World {
     pub now: Duration,
     pub rng: Pcg32,
-    pub seats: Vec<Seat>,
+    pub nodes: Vec<Node>,
     queue: BTreeMap<(Duration, u64), Delivery>,
     count: u64,
     pub loss: f64,
@@ -133,19 +133,19 @@
     pub delay: u64,
     pub cut: BTreeSet<usize>,
     pub behaviour: BTreeMap<String, Behaviour>,
-    pub sabotage: Sabotage,
+    pub defect: Defect,
     pub calls: BTreeMap<RequestId, CallRecord>,
     pub runs: BTreeMap<String, u32>,
     accepted: BTreeMap<(Kind, String), (u64, Duration)>,
-    left: BTreeMap<String, Duration>,
+    departed: BTreeMap<String, Duration>,
     answers: BTreeMap<String, Changed>,
     sent: BTreeMap<u64, Change>,
     seen: BTreeMap<(InstanceId, u64), u64>,
     pub steps: u64,
     start: u64,
-    /// A fault that strikes at the first effect of a step, once.
-    pub trap: Option<(Step, Fault)>,
-    pub sprung: bool,
+    /// A fault to inject once, at the first effect that completes the step.
+    pub pending_fault: Option<(Step, Fault)>,
+    pub fault_injected: bool,
 }
 
 impl World {
@@ -154,7 +154,7 @@
         let mut world = World {
             now: Duration::from_secs(1),
             rng: Pcg32::seed_from_u64(seed),
-            seats: Vec::new(),
+            nodes: Vec::new(),
             queue: BTreeMap::new(),
             count: 0,
             loss: 0.0,
@@ -162,23 +162,23 @@
             delay: 5,
             cut: BTreeSet::new(),
             behaviour: ENDPOINTS.iter().map(|name| ((*name).to_owned(), Behaviour::Good)).collect(),
-            sabotage: Sabotage::None,
+            defect: Defect::None,
             calls: BTreeMap::new(),
             runs: BTreeMap::new(),
             accepted: BTreeMap::new(),
-            left: BTreeMap::new(),
+            departed: BTreeMap::new(),
             answers: BTreeMap::new(),
             sent: BTreeMap::new(),
             seen: BTreeMap::new(),
             steps: 0,
             start: 0,
-            trap: None,
-            sprung: false,
+            pending_fault: None,
+            fault_injected: false,
         };
         for index in 0..9 {
             let disk = (index < 5).then(|| Disk::new(1000 + index as u64));
             let name = InstanceId::from(format!("node-{index}"));
-            let seat = Seat {
+            let node = Node {
                 name,
                 hall: index % 3,
                 disk,
@@ -187,7 +187,7 @@
                 held: Vec::new(),
                 clean_exit: false,
             };
-            world.seats.push(seat);
+            world.nodes.push(node);
         }
         for index in 0..9 {
             world.start(index);
@@ -195,7 +195,7 @@
         world
     }
 
-    /// A world that has a leader and a configuration.
+    /// A world with a leader and a configuration.
     pub fn ready(seed: u64) -> World {
         let mut world = World::new(seed);
         world.advance(4000);
@@ -207,17 +207,17 @@
     }
 
     pub fn start(&mut self, node: usize) {
-        if self.seats[node].state.is_some() {
+        if self.nodes[node].state.is_some() {
             return;
         }
         self.start += 1;
-        let seat = &mut self.seats[node];
-        let hall = HALLS[seat.hall];
+        let instance = &mut self.nodes[node];
+        let hall = HALLS[instance.hall];
         let me = Me {
-            name: seat.name.clone(),
+            name: instance.name.clone(),
             hall: hall.into(),
             start: self.start,
-            address: Some(seat.name.to_string()),
+            address: Some(instance.name.to_string()),
             epoch: Duration::from_secs(1_000_000),
         };
         let mut nearest = HALLS.to_vec();
@@ -236,26 +236,26 @@
             },
             ..Options::default()
         };
-        let disk = seat.disk.as_ref().map(|disk| (disk.id, disk.durable.clone()));
-        seat.state = Some(State::new(self.now, me, options, disk));
-        seat.held.clear();
+        let disk = instance.disk.as_ref().map(|disk| (disk.id, disk.durable.clone()));
+        instance.state = Some(State::new(self.now, me, options, disk));
+        instance.held.clear();
     }
 
-    /// Ends a process without warning: unsaved writes and open calls are lost.
+    /// Crashes an instance; pending saves and open calls are lost.
     pub fn crash(&mut self, node: usize) {
-        let seat = &mut self.seats[node];
-        seat.state = None;
-        if let Some(disk) = &mut seat.disk {
+        let instance = &mut self.nodes[node];
+        instance.state = None;
+        if let Some(disk) = &mut instance.disk {
             disk.pending.clear();
             disk.durable = disk.synced.clone();
         }
     }
 
-    /// A crash that also empties the data folder.
+    /// Crashes an instance and empties its data folder.
     pub fn wipe(&mut self, node: usize) {
         self.crash(node);
         let fresh = self.rng.random_range(10_000..u64::MAX);
-        if let Some(disk) = &mut self.seats[node].disk {
+        if let Some(disk) = &mut self.nodes[node].disk {
             *disk = Disk::new(fresh);
         }
     }
@@ -273,8 +273,8 @@
                 self.deliver(delivery);
             }
             self.now = next;
-            for node in 0..self.seats.len() {
-                self.give(node, Event::Tick);
+            for node in 0..self.nodes.len() {
+                self.send_event(node, Event::Tick);
             }
             self.check_views();
         }
@@ -282,50 +282,50 @@
 
     fn deliver(&mut self, delivery: Delivery) {
         match delivery {
-            Delivery::Node(node, event) => self.give(node, event),
+            Delivery::Node(node, event) => self.send_event(node, event),
             Delivery::Saved(node, start, number) => self.save(node, start, number),
             Delivery::Finish(node, request, ended) => {
                 if matches!(ended, Ended::Done { stored: None, .. }) {
-                    self.note_final(request);
+                    self.record_answer(request);
                 }
-                self.give(node, Event::Ended { request, ended });
+                self.send_event(node, Event::Ended { request, ended });
             }
         }
     }
 
     fn save(&mut self, node: usize, start: u64, number: u64) {
-        let lies = self.sabotage == Sabotage::LyingDisk;
-        let seat = &mut self.seats[node];
-        if seat.state.as_ref().is_none_or(|state| state.me.start != start) {
+        let is_lying = self.defect == Defect::LyingDisk;
+        let instance = &mut self.nodes[node];
+        if instance.state.as_ref().is_none_or(|state| state.me.start != start) {
             return;
         }
-        let Some(disk) = &mut seat.disk else { return };
+        let Some(disk) = &mut instance.disk else { return };
         if disk.full {
             self.schedule(1000, Delivery::Saved(node, start, number));
-            self.give(node, Event::DiskFull);
+            self.send_event(node, Event::DiskFull);
             return;
         }
         while disk.pending.first().is_some_and(|(held, _)| *held <= number) {
             let (_, save) = disk.pending.remove(0);
             apply_save(&mut disk.durable, save);
         }
-        if !lies {
+        if !is_lying {
             disk.synced = disk.durable.clone();
         }
-        self.give(node, Event::Saved { number });
+        self.send_event(node, Event::Saved { number });
     }
 
-    /// Hands an event to an instance; a paused one gets it when it wakes.
-    pub fn give(&mut self, node: usize, event: Event) {
+    /// Delivers an event to an instance; a paused one handles it after the pause.
+    pub fn send_event(&mut self, node: usize, event: Event) {
         let now = self.now;
-        let seat = &mut self.seats[node];
-        if now < seat.paused {
-            seat.held.push(event);
+        let instance = &mut self.nodes[node];
+        if now < instance.paused {
+            instance.held.push(event);
             return;
         }
-        let Some(state) = &mut seat.state else { return };
+        let Some(state) = &mut instance.state else { return };
         let mut effects = Vec::new();
-        let held = std::mem::take(&mut seat.held);
+        let held = std::mem::take(&mut instance.held);
         for event in held.into_iter().chain([event]) {
             self.steps += 1;
             state.reduce(now, event, &mut effects);
@@ -337,39 +337,39 @@
     }
 
     fn perform(&mut self, node: usize, start: u64, effect: Effect) {
-        let struck = self.trap.filter(|(step, _)| is_step(&effect, *step));
+        let due = self.pending_fault.filter(|(step, _)| is_step(&effect, *step));
         self.carry_out(node, start, effect);
-        if let Some((_, fault)) = struck {
-            self.trap = None;
-            self.sprung = true;
-            self.strike(node, fault);
+        if let Some((_, fault)) = due {
+            self.pending_fault = None;
+            self.fault_injected = true;
+            self.inject(node, fault);
         }
     }
 
-    /// Lets a fault happen at `node`, whose effect ended the step.
-    fn strike(&mut self, node: usize, fault: Fault) {
+    /// Injects a fault; `node` is the actor.
+    fn inject(&mut self, node: usize, fault: Fault) {
         let leader = self.leader().unwrap_or(0);
         let pause = self.now + Duration::from_secs(6);
         match fault {
             Fault::CrashActor => self.crash(node),
             Fault::CrashLeader => self.crash(leader),
             Fault::WipeLeader => self.wipe(leader),
-            Fault::PauseActor => self.seats[node].paused = pause,
-            Fault::PauseLeader => self.seats[leader].paused = pause,
+            Fault::PauseActor => self.nodes[node].paused = pause,
+            Fault::PauseLeader => self.nodes[leader].paused = pause,
             Fault::CutActor => drop(self.cut.insert(node)),
             Fault::CutLeader => drop(self.cut.insert(leader)),
             Fault::LoseMessages => self.loss = 1.0,
             Fault::FullDisks => {
-                for disk in self.seats.iter_mut().filter_map(|seat| seat.disk.as_mut()) {
+                for disk in self.nodes.iter_mut().filter_map(|instance| instance.disk.as_mut()) {
                     disk.full = true;
                 }
             }
             Fault::EndpointDown => self.set_endpoints(Behaviour::Down),
             Fault::EndpointSilent => self.set_endpoints(Behaviour::LosesAnswers),
-            Fault::StopActor => self.give(node, Event::Stop),
+            Fault::StopActor => self.send_event(node, Event::Stop),
             Fault::TwoAtOnce => {
                 self.crash(leader);
-                self.seats[(node + 1) % 9].paused = pause;
+                self.nodes[(node + 1) % 9].paused = pause;
             }
         }
     }
@@ -387,11 +387,11 @@
             Effect::SaveSnapshot { number, snapshot, records } => {
                 self.queue_save(node, start, number, Save::Replace(snapshot, records));
             }
-            Effect::Verdict { request, verdict } => self.obey(node, request, verdict),
-            Effect::Admin { ticket, answer } => self.note_answer(ticket, answer),
+            Effect::Verdict { request, verdict } => self.on_verdict(node, request, verdict),
+            Effect::Admin { ticket, answer } => self.record_change_answer(ticket, answer),
             Effect::Exit => {
-                self.seats[node].state = None;
-                self.seats[node].clean_exit = true;
+                self.nodes[node].state = None;
+                self.nodes[node].clean_exit = true;
             }
             Effect::Poll { .. }
             | Effect::Order { .. }
@@ -406,14 +406,14 @@
 
     fn queue_save(&mut self, node: usize, start: u64, number: u64, save: Save) {
         let delay = self.rng.random_range(1..8);
-        if let Some(disk) = &mut self.seats[node].disk {
+        if let Some(disk) = &mut self.nodes[node].disk {
             disk.pending.push((number, save));
         }
         self.schedule(delay, Delivery::Saved(node, start, number));
     }
 
     fn send(&mut self, from: usize, to: &InstanceId, message: PeerMessage) {
-        let Some(target) = self.seats.iter().position(|seat| seat.name == *to) else { return };
+        let Some(target) = self.nodes.iter().position(|instance| instance.name == *to) else { return };
         if self.cut.contains(&from) || self.cut.contains(&target) {
             return;
         }
@@ -424,23 +424,23 @@
                 continue;
             }
             let delay = self.rng.random_range(1..=self.delay.max(1));
-            let event = Event::Peer { from: self.seats[from].name.clone(), message: message.clone() };
+            let event = Event::Peer { from: self.nodes[from].name.clone(), message: message.clone() };
             self.schedule(delay, Delivery::Node(target, event));
         }
     }
 
-    /// Sabotage: an answer is told as the answer to the questions of the next minute too.
+    /// Implements [`Defect::OldAnswers`].
     fn tamper(&mut self, target: usize, message: PeerMessage) -> PeerMessage {
         let PeerMessage::WatchReply(watched) = &message else {
             return message;
         };
-        if self.sabotage != Sabotage::OldAnswers {
+        if self.defect != Defect::OldAnswers {
             return message;
         }
         for later in 1..60 {
-            let told = WatchReply { round: watched.round + later, ..(**watched).clone() };
-            let message = PeerMessage::WatchReply(Box::new(told));
-            let event = Event::Peer { from: self.seats[0].name.clone(), message };
+            let replayed = WatchReply { round: watched.round + later, ..(**watched).clone() };
+            let message = PeerMessage::WatchReply(Box::new(replayed));
+            let event = Event::Peer { from: self.nodes[0].name.clone(), message };
             self.schedule(400 * later + 30, Delivery::Node(target, event));
         }
         message
@@ -451,60 +451,62 @@
         self.queue.insert((self.now + Duration::from_millis(millis), self.count), delivery);
     }
 
-    fn obey(&mut self, node: usize, request: RequestId, verdict: Verdict) {
+    fn on_verdict(&mut self, node: usize, request: RequestId, verdict: Verdict) {
         match verdict {
             Verdict::Dispatch(dispatch) => self.run(node, request, &dispatch.endpoint),
             Verdict::Refuse(refusal) => {
-                self.note_final(request);
-                let call = self.calls.get_mut(&request).expect("a known call");
+                self.record_answer(request);
+                let call = self.calls.get_mut(&request).expect("known call");
                 assert!(refusal.ran != Ran::No || call.runs == 0, "P4: {request:x} ran but was refused as not run");
                 call.refused = Some(refusal.ran);
             }
             Verdict::Stored(stored) => {
-                let key = self.calls[&request].key.clone().expect("only keyed calls get stored answers");
+                let key = self.calls[&request].key.clone().expect("stored answers are sent only to calls with a key");
                 assert_eq!(stored.body, key.as_bytes(), "P3: the stored answer is another key's");
                 assert_eq!(self.runs.get(&key), Some(&1), "P4: a stored answer of a key that never ran");
-                self.note_final(request);
+                self.record_answer(request);
             }
-            Verdict::Release => self.note_final(request),
+            Verdict::Release => self.record_answer(request),
             Verdict::Recall => {}
         }
     }
 
-    fn note_final(&mut self, request: RequestId) {
-        let call = self.calls.get_mut(&request).expect("a known call");
-        call.finals += 1;
-        assert_eq!(call.finals, 1, "P3: {request:x} was answered twice");
+    fn record_answer(&mut self, request: RequestId) {
+        let call = self.calls.get_mut(&request).expect("known call");
+        call.answer_count += 1;
+        assert_eq!(call.answer_count, 1, "P3: {request:x} was answered twice");
     }
 
     fn run(&mut self, node: usize, request: RequestId, endpoint: &str) {
-        self.check_leaving(endpoint);
+        self.check_departed(endpoint);
         let behaviour = self.behaviour.get(endpoint).copied().unwrap_or(Behaviour::Good);
         let time = self.rng.random_range(5..300);
         let key = self.calls[&request].key.clone();
         if matches!(behaviour, Behaviour::Good | Behaviour::LosesAnswers) {
-            self.calls.get_mut(&request).expect("a known call").runs += 1;
+            self.calls.get_mut(&request).expect("known call").runs += 1;
             if let Some(key) = &key {
                 let runs = self.runs.entry(key.clone()).or_default();
                 *runs += 1;
                 assert_eq!(*runs, 1, "P5: key {key} ran twice");
             }
         }
-        let lied = self.sabotage == Sabotage::LyingFailure;
+        let is_lying = self.defect == Defect::LyingFailure;
         let stored = key.map(|key| Stored { status: 200, content: String::new(), body: key.into_bytes() });
         let (first, total) = (Duration::from_millis(time), Duration::from_millis(time));
         let ended = match behaviour {
             Behaviour::Good => Ended::Done { tokens: 0, first, total, stored },
             Behaviour::Down => Ended::Failed { sent: false, refused: false, retry_after: None, produced: 0 },
-            Behaviour::LosesAnswers => Ended::Failed { sent: !lied, refused: false, retry_after: None, produced: 0 },
+            Behaviour::LosesAnswers => {
+                Ended::Failed { sent: !is_lying, refused: false, retry_after: None, produced: 0 }
+            }
             Behaviour::Refuses => Ended::Failed { sent: true, refused: true, retry_after: None, produced: 0 },
         };
         self.schedule(time, Delivery::Finish(node, request, ended));
     }
 
-    /// P6: no new work for an endpoint whose mark was accepted longer ago than the freshness bound.
-    fn check_leaving(&self, endpoint: &str) {
-        let Some(at) = self.left.get(endpoint) else { return };
+    /// P6: an endpoint receives no new work once its mark has been accepted for longer than the maximum proof age.
+    fn check_departed(&self, endpoint: &str) {
+        let Some(at) = self.departed.get(endpoint) else { return };
         assert!(
             self.now <= *at + FRESH + TICK,
             "P6: {endpoint} got new work {:?} after it left",
@@ -512,15 +514,15 @@
         );
     }
 
-    /// P8: what a fresh instance holds is at most the freshness bound old, and never goes back.
+    /// P8: the configuration of a fresh instance is at most the maximum proof age old, and never goes back.
     fn check_views(&mut self) {
-        for seat in &self.seats {
-            let Some(state) = &seat.state else { continue };
+        for instance in &self.nodes {
+            let Some(state) = &instance.state else { continue };
             let index = state.view.config.index;
-            let seen = self.seen.entry((seat.name.clone(), state.me.start)).or_default();
-            assert!(index >= *seen, "P8: {} went back from {seen} to {index}", seat.name);
+            let seen = self.seen.entry((instance.name.clone(), state.me.start)).or_default();
+            assert!(index >= *seen, "P8: {} went back from {seen} to {index}", instance.name);
             *seen = index;
-            if self.now < seat.paused || !state.view.is_fresh(self.now, FRESH) {
+            if self.now < instance.paused || !state.view.is_fresh(self.now, FRESH) {
                 continue;
             }
             for ((kind, name), (number, at)) in &self.accepted {
@@ -528,7 +530,7 @@
                     continue;
                 }
                 let held = state.view.config.get(*kind, name).map_or(0, |held| held.number);
-                assert!(held >= *number, "P8: {} is fresh and holds {name} number {held}, not {number}", seat.name);
+                assert!(held >= *number, "P8: {} is fresh and holds {name} number {held}, not {number}", instance.name);
             }
         }
     }
@@ -536,7 +538,7 @@
     pub fn change(&mut self, node: usize, change: Change) {
         self.count += 1;
         self.sent.insert(self.count, change.clone());
-        self.give(node, Event::Admin { ticket: self.count, change });
+        self.send_event(node, Event::Admin { ticket: self.count, change });
     }
 
     pub fn put(&mut self, node: usize, name: &str, object: Object) {
@@ -544,14 +546,14 @@
         self.change(node, Change { id, kind: object.kind(), name: name.to_owned(), replaces: 0, object: Some(object) });
     }
 
-    fn note_answer(&mut self, ticket: u64, answer: Option<Changed>) {
+    fn record_change_answer(&mut self, ticket: u64, answer: Option<Changed>) {
         let (Some(change), Some(answer)) = (self.sent.get(&ticket).cloned(), answer) else { return };
         let first = self.answers.entry(change.id.clone()).or_insert_with(|| answer.clone());
         assert_eq!(*first, answer, "P8: change {} was answered in two ways", change.id);
         let Changed::Accepted { number, .. } = answer else { return };
         let now = self.now;
         if matches!(&change.object, Some(Object::Endpoint(endpoint)) if endpoint.mark != Mark::None) {
-            self.left.entry(change.name.clone()).or_insert(now);
+            self.departed.entry(change.name.clone()).or_insert(now);
         }
         let held = self.accepted.entry((change.kind, change.name)).or_insert((number, now));
         if number > held.0 {
@@ -559,13 +561,13 @@
         }
     }
 
-    /// Times a change was accepted.
-    pub fn accepted(&self, id: &str) -> Option<&Changed> {
+    /// Returns the answer to a change.
+    pub fn answer_to(&self, id: &str) -> Option<&Changed> {
         self.answers.get(id)
     }
 
     pub fn call(&mut self, node: usize, key: Option<&str>) -> Option<RequestId> {
-        let start = self.seats[node].state.as_ref()?.me.start;
+        let start = self.nodes[node].state.as_ref()?.me.start;
         self.count += 1;
         let request = id::request_id(start, self.count);
         let key = key.map(str::to_owned);
@@ -581,30 +583,30 @@
             resumable: false,
             patience: None,
         };
-        self.give(node, Event::Arrive(Box::new(arrival)));
+        self.send_event(node, Event::Arrive(Box::new(arrival)));
         Some(request)
     }
 
-    /// Ends all faults and starts what is down.
+    /// Ends all faults and starts all stopped instances.
     pub fn heal(&mut self) {
         (self.loss, self.double, self.delay) = (0.0, 0.0, 5);
         self.cut.clear();
         for name in ENDPOINTS {
             self.behaviour.insert(name.to_owned(), Behaviour::Good);
         }
-        for node in 0..self.seats.len() {
-            self.seats[node].paused = self.seats[node].paused.min(self.now);
-            if let Some(disk) = &mut self.seats[node].disk {
+        for node in 0..self.nodes.len() {
+            self.nodes[node].paused = self.nodes[node].paused.min(self.now);
+            if let Some(disk) = &mut self.nodes[node].disk {
                 disk.full = false;
             }
             self.start(node);
         }
     }
 
-    /// The node that leads, if one does.
+    /// Returns the leader, if there is one.
     pub fn leader(&self) -> Option<usize> {
-        self.seats.iter().position(|seat| {
-            let control = seat.state.as_ref().and_then(|state| state.control.as_ref());
+        self.nodes.iter().position(|instance| {
+            let control = instance.state.as_ref().and_then(|state| state.control.as_ref());
             control.is_some_and(|control| control.replica.leads(self.now))
         })
     }
@@ -625,7 +627,7 @@
         },
         Effect::Save { .. } => step == Step::Saving,
         Effect::Send { message: PeerMessage::Proposed { .. }, .. } => step == Step::Answered,
-        // An instance that is the pool's home sends no message for these two.
+        // The home of a pool sends no message to itself for these two.
         Effect::Log(What::Asked { .. }) => step == Step::Asked,
         Effect::Log(What::Granted { .. }) => step == Step::Granted,
         Effect::Verdict { verdict: Verdict::Dispatch(_), .. } => step == Step::Dispatched,
