--- a/crates/rudder-core/src/document_history.rs
+++ b/crates/rudder-core/src/document_history.rs
@@ -4,7 +4,7 @@
 
 use rudder_ledger::{Document, Patch};
 
-use crate::peer::DocumentNews;
+use crate::peer::DocumentUpdate;
 
 /// Versions kept: changes may follow each other faster than all have learned of them.
 const KEPT: usize = 4;
@@ -36,10 +36,10 @@
     }
 
     /// What the holder of version `held` is sent to hold `newest`.
-    pub fn to_news(&mut self, held: u64, newest: &Document) -> DocumentNews {
+    pub fn to_news(&mut self, held: u64, newest: &Document) -> DocumentUpdate {
         match self.patch_from(held, newest) {
-            Some(patch) => DocumentNews::Patch(patch),
-            None => DocumentNews::Whole(newest.clone()),
+            Some(patch) => DocumentUpdate::Patch(patch),
+            None => DocumentUpdate::Whole(newest.clone()),
         }
     }
 
--- a/crates/rudder-core/src/peer.rs
+++ b/crates/rudder-core/src/peer.rs
@@ -101,20 +101,20 @@
     pub complete: bool,
     /// Objects changed since the requested index.
     pub deltas: Vec<Delta>,
-    /// Directory changes since the sender's version.
+    /// Directory changes since the watcher's version.
     pub directory: Option<DirectoryNews>,
     /// Version of the current configuration document. A watcher that does not hold it has no freshness proof.
     pub latest_document: u64,
     /// The configuration document, if the watcher's is older and none was sent recently.
-    pub document: Option<DocumentNews>,
-    /// Registry changes since the sender's version.
+    pub document: Option<DocumentUpdate>,
+    /// Registry changes since the watcher's version.
     pub registry: Option<RegistryDelta>,
     /// This reply omits some registry changes, which are in flight or follow in the next one. The watcher may be
     /// missing the departure of an endpoint, so this reply is no freshness proof.
     pub pending: bool,
     /// The part of the registry that is withheld from the watcher's hall; `None` if it receives everything.
     pub scope: Option<Scope>,
-    /// Quarantine changes since the sender's index.
+    /// Quarantine changes since the watcher's index.
     pub quarantine: Option<QuarantineNews>,
     /// All halls that are or were evacuated, if the watcher's state is older.
     pub evacuations: Option<Evacuations>,
@@ -131,7 +131,7 @@
 impl WatchReply {
     fn weight(&self) -> usize {
         let document = match &self.document {
-            Some(DocumentNews::Whole(document)) => document.body.len() / 100,
+            Some(DocumentUpdate::Whole(document)) => document.body.len() / 100,
             _ => 0,
         };
         let directory = self.directory.as_ref().map_or(0, |news| news.entries.len());
@@ -140,26 +140,26 @@
     }
 }
 
-/// A document that the receiver does not hold.
+/// An update to a document that the receiver does not hold.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum DocumentNews {
+pub enum DocumentUpdate {
     /// The complete document.
     Whole(Document),
     /// The difference from the document that the receiver holds.
     Patch(Patch),
 }
 
-impl DocumentNews {
+impl DocumentUpdate {
     /// Returns the new document given the `held` one; `None` if this is a patch for a different document.
     pub fn to_document(&self, held: Option<&Document>) -> Option<Document> {
         match self {
-            DocumentNews::Whole(document) => Some(document.clone()),
-            DocumentNews::Patch(patch) => patch.apply(held?),
+            DocumentUpdate::Whole(document) => Some(document.clone()),
+            DocumentUpdate::Patch(patch) => patch.apply(held?),
         }
     }
 }
 
-/// What an instance lacks of the directory of live instances.
+/// Changes of the directory since the version that the receiver holds.
 pub type DirectoryNews = MapDelta<InstanceId, Listing>;
 
 /// In-flight requests and recent failures at one endpoint.
--- a/crates/rudder-core/src/view.rs
+++ b/crates/rudder-core/src/view.rs
@@ -22,7 +22,7 @@
     Effect, Listing, Me, Options, PeerMessage, RelayGroup, WatchReply, WatchRequest,
     clock::Clock,
     limits::{LimitReport, Limits, PeerSync},
-    peer::{DirectoryNews, DocumentNews, Load},
+    peer::{DirectoryNews, DocumentUpdate, Load},
     registry::{Change, Phase, Registration, Registry},
     subset::Scope,
     tree::Directory,
@@ -448,7 +448,7 @@
     /// Applies a document with a higher version than the one in force. Returns whether it was applied.
     fn apply_document(
         &mut self,
-        document: Option<DocumentNews>,
+        document: Option<DocumentUpdate>,
         promises: &mut Promises,
         out: &mut Vec<Effect>,
     ) -> bool {
--- a/crates/rudder-core/src/watchers.rs
+++ b/crates/rudder-core/src/watchers.rs
@@ -16,7 +16,7 @@
     document_history::DocumentHistory,
     limits::{LimitReport, Limits, PeerSync},
     loads::{self, Loads},
-    peer::{DocumentNews, Load},
+    peer::{DocumentUpdate, Load},
     registry::RegistryDelta,
     subset::Scope,
     tree::Directory,
@@ -235,7 +235,7 @@
         name: &InstanceId,
         held: u64,
         newest: Option<&Document>,
-    ) -> Option<DocumentNews> {
+    ) -> Option<DocumentUpdate> {
         self.past.record(newest?);
         let newest = newest.filter(|newest| newest.version > held)?;
         if let Some(watcher) = self.instances.get_mut(name) {
--- a/crates/rudder-core/tests/frames.rs
+++ b/crates/rudder-core/tests/frames.rs
@@ -2,8 +2,11 @@
 
 mod mesh;
 
+use std::time::Duration;
+
+use mesh::{Mesh, watch_request};
 use quickcheck::{Arbitrary, Gen, QuickCheck};
-use rudder_core::PeerMessage;
+use rudder_core::{PeerMessage, usage::UsageAck};
 use rudder_ledger::{Command, EndedUnder, Findings};
 
 /// The bytes of a message with some of them changed.
@@ -14,7 +17,7 @@
     let findings = Findings { ended: vec![EndedUnder { content: 7, endpoint: 9 }], answered: vec![7] };
     vec![
         PeerMessage::Notify,
-        PeerMessage::WatchRequest(Box::new(mesh::watch_request("i-1", 4, 9))),
+        PeerMessage::WatchRequest(Box::new(watch_request("i-1", 4, 9))),
         PeerMessage::Propose { ticket: 3, start: 9, command: Command::Findings(findings) },
         PeerMessage::Redirect { leader: Some("i-2".into()) },
     ]
@@ -50,3 +53,25 @@
     let generator = Gen::from_size_and_seed(60, 1);
     QuickCheck::new().rng(generator).tests(20_000).quickcheck(holds as fn(Frame) -> bool);
 }
+
+/// Guards against a renamed variant changing the encoding, which instances of another version must still understand.
+#[test]
+fn renamed_messages_keep_their_encoded_names() {
+    let mut mesh = Mesh::start(3, 3);
+    mesh.run(Duration::from_secs(4));
+    let leader = mesh.leader().expect("a leader");
+    let reply = mesh.watch(leader, watch_request("i-1", 4, 9));
+    let ack = UsageAck { start: 1, sequence: 2, before: 3 };
+    let encoded = [
+        (PeerMessage::WatchRequest(Box::new(watch_request("i-1", 4, 9))), "Watch"),
+        (PeerMessage::WatchReply(Box::new(reply)), "Watched"),
+        (PeerMessage::Redirect { leader: None }, "Elsewhere"),
+        (PeerMessage::UsageAck(ack), "UsageTaken"),
+    ];
+    for (message, name) in encoded {
+        let bytes = rmp_serde::to_vec(&message).expect("messages are serializable");
+        // A map of one entry, whose key is the name as a short string.
+        let prefix = [&[0x81, 0xa0 | name.len() as u8], name.as_bytes()].concat();
+        assert!(bytes.starts_with(&prefix), "{name}: {bytes:?}");
+    }
+}
