--- a/crates/rudder-core/src/clock.rs
+++ b/crates/rudder-core/src/clock.rs
@@ -57,7 +57,7 @@
     /// Latest reading of each other instance.
     readings: BTreeMap<InstanceId, Reading>,
     agreed: Option<Estimate>,
-    led_since: Option<Duration>,
+    leader_since: Option<Duration>,
 }
 
 impl Clock {
@@ -104,10 +104,10 @@
         }
         self.readings.retain(|_, reading| now < reading.at + READING_TTL);
         if !leads {
-            self.led_since = None;
+            self.leader_since = None;
             return;
         }
-        let since = *self.led_since.get_or_insert(now);
+        let since = *self.leader_since.get_or_insert(now);
         if self.agreed.is_none() || now >= since + GATHER_TIME {
             self.agreed = Some(Estimate { origin: self.median(), error: Duration::ZERO, at: now });
         }
@@ -115,7 +115,7 @@
 
     /// Records the agreed time in the reply to a request sent at `sent`, unless the held estimate is better.
     pub fn learn(&mut self, now: Duration, sent: Duration, time: Duration) {
-        if self.led_since.is_some() {
+        if self.leader_since.is_some() {
             return;
         }
         let error = now.saturating_sub(sent) / 2;
--- a/crates/rudder-core/tests/keys.rs
+++ b/crates/rudder-core/tests/keys.rs
@@ -19,7 +19,7 @@
 fn change(instance: &mut SingleInstance, name: &str, replaces: u64, object: Option<Object>) {
     let id = format!("{name}-{replaces}");
     let change = Change { id, kind: Kind::Organisation, name: name.to_owned(), replaces, object };
-    instance.give(rudder_core::Event::Admin { ticket: 1, change });
+    instance.send_event(rudder_core::Event::Admin { ticket: 1, change });
     instance.run(1500);
 }
 
--- a/crates/rudder-core/tests/mesh/mod.rs
+++ b/crates/rudder-core/tests/mesh/mod.rs
@@ -543,7 +543,7 @@
         }
         let outcome = if self.defect == Defect::CallsWithoutLease || self.may_call(number) {
             let reached = !node.cut;
-            self.receiver.take(self.now, number, fence, call, reached)
+            self.receiver.handle_call(self.now, number, fence, call, reached)
         } else {
             CallOutcome::Lapsed
         };
--- a/crates/rudder-core/tests/mesh/receiver.rs
+++ b/crates/rudder-core/tests/mesh/receiver.rs
@@ -70,7 +70,7 @@
 
 impl Receiver {
     /// Handles a call written by `by`.
-    pub fn take(&mut self, now: Duration, by: usize, fence: u64, call: DutyCall, reached: bool) -> CallOutcome {
+    pub fn handle_call(&mut self, now: Duration, by: usize, fence: u64, call: DutyCall, reached: bool) -> CallOutcome {
         self.carry_out_due(now);
         let received = ReceivedCall { at: now, by, fence, call };
         match self.mode {
--- a/crates/rudder-core/tests/orders.rs
+++ b/crates/rudder-core/tests/orders.rs
@@ -41,7 +41,11 @@
     let options = &alone.state.options;
     let wait = options.replica.lease + options.order_timeout;
     let order = alone.orders.first().expect("an order");
-    assert!(order.at >= alone.led + wait, "ordered {:?} after it began to lead", order.at.saturating_sub(alone.led));
+    assert!(
+        order.at >= alone.leader_since + wait,
+        "ordered {:?} after it began to lead",
+        order.at.saturating_sub(alone.leader_since)
+    );
 }
 
 #[test]
--- a/crates/rudder-core/tests/recall.rs
+++ b/crates/rudder-core/tests/recall.rs
@@ -34,7 +34,7 @@
         resumable: true,
         patience: None,
     };
-    alone.give(Event::Arrive(Box::new(arrival)));
+    alone.send_event(Event::Arrive(Box::new(arrival)));
     request
 }
 
@@ -49,7 +49,7 @@
     assert!(matches!(last(&alone, low), Some(Verdict::Dispatch(_))), "{:?}", alone.verdicts);
     let top = call(&mut alone, 2, "top");
     assert!(matches!(last(&alone, low), Some(Verdict::Recall)), "{:?}", alone.verdicts);
-    alone.give(Event::Ended { request: low, ended: Ended::Recalled { produced: 3 } });
+    alone.send_event(Event::Ended { request: low, ended: Ended::Recalled { produced: 3 } });
     assert!(matches!(last(&alone, top), Some(Verdict::Dispatch(_))), "{:?}", alone.verdicts);
     // The top request holds the only slot past the low one's patience.
     alone.run(9000);
@@ -62,9 +62,9 @@
     let mut alone = narrow();
     let low = call(&mut alone, 1, "low");
     let top = call(&mut alone, 2, "top");
-    alone.give(Event::Ended { request: low, ended: Ended::Recalled { produced: 3 } });
+    alone.send_event(Event::Ended { request: low, ended: Ended::Recalled { produced: 3 } });
     let (first, total) = (Duration::from_millis(100), Duration::from_secs(1));
-    alone.give(Event::Ended { request: top, ended: Ended::Done { tokens: 9, first, total, stored: None } });
+    alone.send_event(Event::Ended { request: top, ended: Ended::Done { tokens: 9, first, total, stored: None } });
     let Some(Verdict::Dispatch(dispatch)) = last(&alone, low) else { panic!("{:?}", alone.verdicts) };
     assert_eq!(dispatch.resume, 3);
 }
--- a/crates/rudder-core/tests/single/mod.rs
+++ b/crates/rudder-core/tests/single/mod.rs
@@ -24,7 +24,7 @@
     pub verdicts: Vec<(RequestId, Verdict)>,
     pub orders: Vec<Order>,
     /// Start of its leadership.
-    pub led: Duration,
+    pub leader_since: Duration,
     /// What every endpoint reports as loaded.
     pub loaded: &'static str,
 }
@@ -49,10 +49,10 @@
             now,
             verdicts: Vec::new(),
             orders: Vec::new(),
-            led: Duration::ZERO,
+            leader_since: Duration::ZERO,
             loaded: "m:v1",
         };
-        while instance.led.is_zero() {
+        while instance.leader_since.is_zero() {
             instance.tick();
         }
         instance
@@ -61,28 +61,30 @@
     pub fn put(&mut self, name: &str, object: Object) {
         let (kind, name) = (object.kind(), name.to_owned());
         let change = Change { id: name.clone(), kind, name, replaces: 0, object: Some(object) };
-        self.give(Event::Admin { ticket: 1, change });
+        self.send_event(Event::Admin { ticket: 1, change });
     }
 
     fn tick(&mut self) {
         self.now += Duration::from_millis(50);
-        self.give(Event::Tick);
+        self.send_event(Event::Tick);
         let leads = self.state.control.as_ref().is_some_and(|control| control.replica.leads(self.now));
-        if leads && self.led.is_zero() {
-            self.led = self.now;
+        if leads && self.leader_since.is_zero() {
+            self.leader_since = self.now;
         }
     }
 
-    pub fn give(&mut self, event: Event) {
+    pub fn send_event(&mut self, event: Event) {
         let mut effects = Vec::new();
         self.state.reduce(self.now, event, &mut effects);
         for effect in effects {
             match effect {
-                Effect::Save { number, .. } | Effect::SaveSnapshot { number, .. } => self.give(Event::Saved { number }),
+                Effect::Save { number, .. } | Effect::SaveSnapshot { number, .. } => {
+                    self.send_event(Event::Saved { number });
+                }
                 Effect::Verdict { request, verdict } => self.verdicts.push((request, verdict)),
                 Effect::Poll { endpoint, .. } => {
                     let report = Report { loaded: self.loaded.to_owned(), ..Report::default() };
-                    self.give(Event::Polled { endpoint, report: Some(report) });
+                    self.send_event(Event::Polled { endpoint, report: Some(report) });
                 }
                 Effect::Order { fence, until, .. } => self.orders.push(Order { at: self.now, fence, until }),
                 _ => {}
