--- a/crates/rudder-core/src/peer.rs
+++ b/crates/rudder-core/src/peer.rs
@@ -102,7 +102,7 @@
     /// Objects changed since the requested index.
     pub deltas: Vec<Delta>,
     /// Directory changes since the watcher's version.
-    pub directory: Option<DirectoryNews>,
+    pub directory: Option<DirectoryDelta>,
     /// Version of the current configuration document. A watcher that does not hold it has no freshness proof.
     pub latest_document: u64,
     /// The configuration document, if the watcher's is older and none was sent recently.
@@ -134,8 +134,8 @@
             Some(DocumentUpdate::Whole(document)) => document.body.len() / 100,
             _ => 0,
         };
-        let directory = self.directory.as_ref().map_or(0, |news| news.entries.len());
-        let registry = self.registry.as_ref().map_or(0, |news| news.entries.len());
+        let directory = self.directory.as_ref().map_or(0, |delta| delta.entries.len());
+        let registry = self.registry.as_ref().map_or(0, |delta| delta.entries.len());
         1 + document + directory + registry + self.loads.as_ref().map_or(0, Vec::len) + self.limits.len()
     }
 }
@@ -160,7 +160,7 @@
 }
 
 /// Changes of the directory since the version that the receiver holds.
-pub type DirectoryNews = MapDelta<InstanceId, Listing>;
+pub type DirectoryDelta = MapDelta<InstanceId, Listing>;
 
 /// In-flight requests and recent failures at one endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/rudder-core/src/reduce.rs
+++ b/crates/rudder-core/src/reduce.rs
@@ -455,7 +455,7 @@
                 let known = (&mut self.view.clock, &self.view.limits);
                 control.on_watch(now, from, *watch, known, out);
             }
-            PeerMessage::Usage(news) if control.leads_since(now).is_some() => self.duties.on_usage(&from, *news),
+            PeerMessage::Usage(update) if control.leads_since(now).is_some() => self.duties.on_usage(&from, *update),
             PeerMessage::Propose { ticket, start, command } => {
                 control.on_propose(now, &self.me, from, (ticket, start, command), &self.options, out);
             }
--- a/crates/rudder-core/src/view.rs
+++ b/crates/rudder-core/src/view.rs
@@ -22,7 +22,7 @@
     Effect, Listing, Me, Options, PeerMessage, RelayGroup, WatchReply, WatchRequest,
     clock::Clock,
     limits::{LimitReport, Limits, PeerSync},
-    peer::{DirectoryNews, DocumentUpdate, Load},
+    peer::{DirectoryDelta, DocumentUpdate, Load},
     registry::{Change, Phase, Registration, Registry},
     subset::Scope,
     tree::Directory,
@@ -415,10 +415,10 @@
         if !from_leader && now.saturating_sub(request.at) + age >= MAX_RELAY_PROOF_AGE {
             self.upstream.skip_relay();
         }
-        if let Some(news) = reply.registry {
+        if let Some(delta) = reply.registry {
             // In a large registry most new versions concern endpoints outside this hall's scope.
-            self.revision += u64::from(news.has_changes());
-            urgent |= self.registry.apply_delta(now, news);
+            self.revision += u64::from(delta.has_changes());
+            urgent |= self.registry.apply_delta(now, delta);
         }
         self.apply_scope((me, options), reply.scope, out);
         if let Some(loads) = reply.loads.filter(|_| request.target != Target::BypassRelay) {
@@ -431,8 +431,8 @@
         for report in reply.limits {
             self.limits.record_received(now, report);
         }
-        if let Some(news) = reply.directory {
-            changed |= self.apply_directory((me, options), news, out);
+        if let Some(delta) = reply.directory {
+            changed |= self.apply_directory((me, options), delta, out);
         }
         Changes { changed, urgent }
     }
@@ -452,9 +452,9 @@
         promises: &mut Promises,
         out: &mut Vec<Effect>,
     ) -> bool {
-        let Some(news) = document else { return false };
+        let Some(update) = document else { return false };
         let held = self.document.as_ref().map_or(0, |held| held.version);
-        let Some(document) = news.to_document(self.document.as_ref()) else {
+        let Some(document) = update.to_document(self.document.as_ref()) else {
             // A late patch of an earlier version, or one of different content under the same version.
             self.needs_whole_document = true;
             out.push(Effect::Log(What::PatchUnfit { held }));
@@ -473,17 +473,17 @@
     }
 
     /// Applies a newer quarantine state. Returns whether it was newer.
-    fn apply_quarantine(&mut self, news: Option<QuarantineNews>) -> bool {
-        let Some(news) = news else { return false };
-        let applied = Arc::make_mut(&mut self.quarantine).take(news);
+    fn apply_quarantine(&mut self, update: Option<QuarantineNews>) -> bool {
+        let Some(update) = update else { return false };
+        let applied = Arc::make_mut(&mut self.quarantine).take(update);
         self.revision += u64::from(applied);
         applied
     }
 
     /// Applies a newer evacuation state. Returns whether it was newer.
-    fn apply_evacuations(&mut self, news: Option<Evacuations>, out: &mut Vec<Effect>) -> bool {
-        let Some(news) = news else { return false };
-        let applied = Arc::make_mut(&mut self.evacuations).take(news);
+    fn apply_evacuations(&mut self, update: Option<Evacuations>, out: &mut Vec<Effect>) -> bool {
+        let Some(update) = update else { return false };
+        let applied = Arc::make_mut(&mut self.evacuations).take(update);
         if applied {
             self.revision += 1;
             let halls = self.evacuations.evacuated().cloned().collect();
@@ -519,10 +519,15 @@
         (key == bearer).then(|| org.clone())
     }
 
-    fn apply_directory(&mut self, (me, options): (&Me, &Options), news: DirectoryNews, out: &mut Vec<Effect>) -> bool {
+    fn apply_directory(
+        &mut self,
+        (me, options): (&Me, &Options),
+        delta: DirectoryDelta,
+        out: &mut Vec<Effect>,
+    ) -> bool {
         let before: BTreeSet<InstanceId> = self.directory.keys().cloned().collect();
-        let touched = news.whole || !news.entries.is_empty() || !news.removed.is_empty();
-        if !self.directory.apply(news, |_, _| true, |_, _| false) || !touched {
+        let touched = delta.whole || !delta.entries.is_empty() || !delta.removed.is_empty();
+        if !self.directory.apply(delta, |_, _| true, |_, _| false) || !touched {
             return false;
         }
         let now: BTreeSet<InstanceId> = self.directory.keys().cloned().collect();
--- a/crates/rudder-core/src/watchers.rs
+++ b/crates/rudder-core/src/watchers.rs
@@ -69,7 +69,7 @@
     /// Changes whenever a watcher is added, removed or modified.
     version: u64,
     /// Older documents that watchers may still hold.
-    past: DocumentHistory,
+    documents: DocumentHistory,
     notified_at: Option<Duration>,
     /// An update arrived after the last notification.
     update_pending: bool,
@@ -124,14 +124,14 @@
             }
             loads
         });
-        let limits = if send_loads { self.limit_updates(now, &name, &source) } else { Vec::new() };
+        let limits = if send_loads { self.limit_changes(now, &name, &source) } else { Vec::new() };
         let scope = source.scope.as_ref().filter(|_| !source.unscoped);
         let (directory_due, registry_due) = self.are_updates_due(now, &watch);
         let registry = source.registry.delta_since(watch.registry, &watch.listing.hall, scope);
         let pending = registry
             .as_ref()
-            .is_some_and(|news| news.has_changes() && !registry_due || news.version < source.registry.version());
-        let registry = registry.filter(|news| registry_due || !news.has_changes());
+            .is_some_and(|delta| delta.has_changes() && !registry_due || delta.version < source.registry.version());
+        let registry = registry.filter(|delta| registry_due || !delta.has_changes());
         let directory = source.directory.delta_since(watch.directory).filter(|_| directory_due);
         let sends_registry = registry.as_ref().is_some_and(RegistryDelta::has_changes);
         self.record_sent(now, &watch, directory.is_some(), sends_registry);
@@ -163,13 +163,13 @@
     }
 
     /// Returns the rate limits to send to a watcher.
-    fn limit_updates(&mut self, now: Duration, name: &InstanceId, source: &Source) -> Vec<LimitReport> {
+    fn limit_changes(&mut self, now: Duration, name: &InstanceId, source: &Source) -> Vec<LimitReport> {
         let Some(held) = self.instances.get_mut(name) else { return Vec::new() };
-        let mut news = source.limits.all_changes(now, &mut held.limits);
+        let mut changes = source.limits.all_changes(now, &mut held.limits);
         if let Some(tags) = &source.load_tags {
-            news.retain(|report| tags.contains(&report.endpoint));
+            changes.retain(|report| tags.contains(&report.endpoint));
         }
-        news
+        changes
     }
 
     /// Returns whether updates of the directory and of the registry may be sent to a watcher.
@@ -236,7 +236,7 @@
         held: u64,
         newest: Option<&Document>,
     ) -> Option<DocumentUpdate> {
-        self.past.record(newest?);
+        self.documents.record(newest?);
         let newest = newest.filter(|newest| newest.version > held)?;
         if let Some(watcher) = self.instances.get_mut(name) {
             if watcher.document == newest.version && now < watcher.document_at + RESEND_INTERVAL {
@@ -244,7 +244,7 @@
             }
             (watcher.document, watcher.document_at) = (newest.version, now);
         }
-        Some(self.past.to_news(held, newest))
+        Some(self.documents.to_news(held, newest))
     }
 
     /// Drops watchers not seen for `timeout` and outdated loads.
@@ -298,7 +298,7 @@
 
     /// Forgets all watchers and loads.
     pub fn clear(&mut self) {
-        let past = std::mem::take(&mut self.past);
-        *self = Watchers { version: self.version + 1, past, ..Watchers::default() };
+        let documents = std::mem::take(&mut self.documents);
+        *self = Watchers { version: self.version + 1, documents, ..Watchers::default() };
     }
 }
--- a/crates/rudder-core/tests/clock.rs
+++ b/crates/rudder-core/tests/clock.rs
@@ -1,4 +1,4 @@
-//! The agreed time of day: correct while most clocks are, and learned with an error of at most half the round-trip time.
+//! The agreed time of day: correct while most clocks are, and learned with an error of at most half the round trip.
 
 use std::time::Duration;
 
