--- a/crates/rudder-gateway/benches/choice.rs
+++ b/crates/rudder-gateway/benches/choice.rs
@@ -9,7 +9,7 @@
 use rudder_core::{Registration, peer::Load};
 use rudder_gateway::{
     Plan, Route, RouteKind, Service,
-    choose::{self, Eligibility, Field},
+    choose::{self, Candidates, Eligibility},
     dialect::{Prompt, PromptPart},
     plan::{Engine, Limits, Share},
     roster::Roster,
@@ -57,8 +57,8 @@
         Scene { roster: roster(&endpoints), loads, known }
     }
 
-    fn field(&self) -> Field {
-        Field::new(self.roster.of("svc"), "svc", &self.known.inputs())
+    fn candidates(&self) -> Candidates {
+        Candidates::new(self.roster.of("svc"), "svc", &self.known.inputs())
     }
 }
 
@@ -101,10 +101,10 @@
 }
 
 fn choose_on(bencher: Bencher, scene: &Scene, path: &str, prompt: Option<&Prompt>) {
-    let field = scene.field();
+    let candidates = scene.candidates();
     let route = scene.known.plan.find("h", path).expect("a route");
     bencher.bench_local(|| {
-        choose::choose(&scene.known.inputs(), route, "svc", &field, black_box(prompt), Eligibility::default())
+        choose::choose(&scene.known.inputs(), route, "svc", &candidates, black_box(prompt), Eligibility::default())
     });
 }
 
@@ -126,7 +126,7 @@
 #[divan::bench(args = ENDPOINTS)]
 fn divide_lanes(bencher: Bencher, count: usize) {
     let scene = Scene::new(count, true);
-    bencher.bench_local(|| Rc::new(scene.field()));
+    bencher.bench_local(|| Rc::new(scene.candidates()));
 }
 
 #[divan::bench(args = ENDPOINTS)]
--- a/crates/rudder-gateway/src/call/attempt.rs
+++ b/crates/rudder-gateway/src/call/attempt.rs
@@ -72,7 +72,7 @@
     }
     let pause = shared.health.borrow_mut().note(endpoint, outcome, Moment::now());
     if let Some(pause) = pause {
-        shared.fields.borrow_mut().clear();
+        shared.candidate_cache.borrow_mut().clear();
         shared.metrics.note_ejection();
         let why = format!("{outcome:?}").to_lowercase();
         shared.log.write(What::Ejected { endpoint: endpoint.clone(), why, pause });
@@ -214,7 +214,7 @@
             shared.log.write(What::SaidLeaving { endpoint });
         }
     }
-    shared.fields.borrow_mut().clear();
+    shared.candidate_cache.borrow_mut().clear();
 }
 
 /// Records what an answer to a request sent at `sent` says of its endpoint's rate limit.
@@ -225,7 +225,7 @@
     if !changed {
         return;
     }
-    shared.fields.borrow_mut().clear();
+    shared.candidate_cache.borrow_mut().clear();
     shared.metrics.note_limit();
     shared.metrics.set_limited(shared.limits.borrow().count());
     let per_second = report.rate.map(RequestRate::per_second);
@@ -334,8 +334,8 @@
     let others = call.route.shares.iter().map(|share| &share.service);
     let mut services = std::iter::once(by_weight).chain(others);
     services.find_map(|service| {
-        let field = shared.fields.borrow_mut().of(service, &roster, &inputs);
-        choose::choose(&inputs, &call.route, service, &field, call.prompt.as_ref(), eligible)
+        let candidates = shared.candidate_cache.borrow_mut().of(service, &roster, &inputs);
+        choose::choose(&inputs, &call.route, service, &candidates, call.prompt.as_ref(), eligible)
     })
 }
 
--- a/crates/rudder-gateway/src/call/limit.rs
+++ b/crates/rudder-gateway/src/call/limit.rs
@@ -40,7 +40,7 @@
         PermitAnswer::Denied(retry) => {
             shared.metrics.note_permit(PermitOutcome::Denied);
             shared.limits.borrow_mut().record_denial(endpoint, Moment::now() + retry);
-            shared.fields.borrow_mut().clear();
+            shared.candidate_cache.borrow_mut().clear();
             Err("its rate limit is used up")
         }
     }
--- a/crates/rudder-gateway/src/choose/field.rs
+++ b/crates/rudder-gateway/src/choose/candidates.rs
@@ -16,7 +16,7 @@
     roster::Roster,
 };
 
-/// A field is worked out anew after this long at the latest: the work of this instance, by which the lanes are divided,
+/// Candidates are recomputed after this long at the latest: the work of this instance, by which the lanes are divided,
 /// changes with each request.
 const KEEP: Duration = Duration::from_millis(200);
 
@@ -67,19 +67,19 @@
 
 /// The endpoints of one service.
 #[derive(Debug, Default)]
-pub struct Field {
+pub struct Candidates {
     /// Those known to be well that serve quick streams; none where the service has no such lane.
     pub quick: Lane,
     /// All others that are known to be well.
     pub bulk: Lane,
     /// Those that have gone quiet or failed of late: better than none.
-    pub doubtful: Lane,
+    pub fallback: Lane,
     expires: Option<Moment>,
 }
 
-impl Field {
-    /// The field of `service` with these endpoints.
-    pub fn new(endpoints: &[Arc<Registration>], service: &str, inputs: &Inputs) -> Field {
+impl Candidates {
+    /// The candidates of `service` with these endpoints.
+    pub fn new(endpoints: &[Arc<Registration>], service: &str, inputs: &Inputs) -> Candidates {
         let is_out = |held: &Registration| inputs.health.is_ejected(&held.endpoint, inputs.now);
         let is_well = |held: &Arc<Registration>| held.phase == Phase::Ready && !is_out(held);
         // What may not be used from here at all is in no lane.
@@ -91,7 +91,7 @@
         };
         let usable = endpoints.iter().filter(is_usable).cloned();
         let (well, rest): (Vec<_>, Vec<_>) = usable.partition(is_well);
-        let doubtful = rest.into_iter().filter(|held| held.phase <= Phase::Silent).collect();
+        let fallback = rest.into_iter().filter(|held| held.phase <= Phase::Silent).collect();
         let lanes = to_lanes(inputs, service, well);
         let returns = |held: &Arc<Registration>| {
             let ends = [
@@ -102,10 +102,10 @@
             ends.into_iter().flatten().min()
         };
         let back = endpoints.iter().filter_map(returns).min();
-        Field {
+        Candidates {
             quick: Lane::new(lanes.quick, inputs),
             bulk: Lane::new(lanes.bulk, inputs),
-            doubtful: Lane::new(doubtful, inputs),
+            fallback: Lane::new(fallback, inputs),
             expires: Some(back.unwrap_or(inputs.now + KEEP).min(inputs.now + KEEP)),
         }
     }
@@ -120,26 +120,27 @@
     lanes::divide(policy, well, service, inputs.balance)
 }
 
-/// Fields worked out of late, by service.
+/// Recently computed candidates by service.
 #[derive(Debug, Default)]
-pub struct Fields {
-    held: HashMap<Arc<str>, Rc<Field>>,
+pub struct CandidateCache {
+    held: HashMap<Arc<str>, Rc<Candidates>>,
 }
 
-impl Fields {
+impl CandidateCache {
     /// Forgets all: something that they rest on has changed.
     pub fn clear(&mut self) {
         self.held.clear();
     }
 
-    /// The field of a service.
-    pub fn of(&mut self, service: &Arc<str>, roster: &Roster, inputs: &Inputs) -> Rc<Field> {
-        let held = self.held.get(service).filter(|field| field.expires.is_some_and(|expires| inputs.now < expires));
-        if let Some(field) = held {
-            return field.clone();
+    /// The candidates of a service.
+    pub fn of(&mut self, service: &Arc<str>, roster: &Roster, inputs: &Inputs) -> Rc<Candidates> {
+        let held =
+            self.held.get(service).filter(|candidates| candidates.expires.is_some_and(|expires| inputs.now < expires));
+        if let Some(candidates) = held {
+            return candidates.clone();
         }
-        let field = Rc::new(Field::new(roster.of(service), service, inputs));
-        self.held.insert(service.clone(), field.clone());
-        field
+        let candidates = Rc::new(Candidates::new(roster.of(service), service, inputs));
+        self.held.insert(service.clone(), candidates.clone());
+        candidates
     }
 }
--- a/crates/rudder-gateway/src/choose/mod.rs
+++ b/crates/rudder-gateway/src/choose/mod.rs
@@ -1,10 +1,10 @@
 //! Choice of the endpoint for one request.
 //!
-//! Plain services: [`plain`]. Engines: [`engine`]. Both choose from a [`field`], in time that does not grow with the number
+//! Plain services: [`plain`]. Engines: [`engine`]. Both choose from [`candidates`], in time that does not grow with the number
 //! of endpoints but for the hash of a session.
 
+mod candidates;
 mod engine;
-mod field;
 mod plain;
 
 use std::{sync::Arc, time::Duration};
@@ -13,8 +13,8 @@
 use rudder_core::Registration;
 use rudder_model::{Born, EndpointId, HallId, RegionId};
 
+pub use self::candidates::{CandidateCache, Candidates, Lane};
 use self::engine::Request;
-pub use self::field::{Field, Fields, Lane};
 use crate::{
     Plan, Policy,
     backoff::Backoff,
@@ -136,12 +136,12 @@
     None
 }
 
-/// Picks an endpoint of `service` from its `field` for a request of `route`, as far as it is eligible.
+/// Picks an endpoint of `service` from its `candidates` for a request of `route`, as far as it is eligible.
 pub fn choose(
     inputs: &Inputs,
     route: &Route,
     service: &str,
-    field: &Field,
+    candidates: &Candidates,
     prompt: Option<&Prompt>,
     eligible: Eligibility,
 ) -> Option<Choice> {
@@ -149,9 +149,11 @@
     match (engine, prompt) {
         (Some(engine), Some(prompt)) => {
             let request = Request::new(inputs, route, service, engine, prompt, eligible);
-            request.choose(&field.quick, &field.bulk).or_else(|| request.choose(&field.doubtful, &field.doubtful))
+            request
+                .choose(&candidates.quick, &candidates.bulk)
+                .or_else(|| request.choose(&candidates.fallback, &candidates.fallback))
         }
-        _ => [&field.bulk, &field.quick, &field.doubtful]
+        _ => [&candidates.bulk, &candidates.quick, &candidates.fallback]
             .into_iter()
             .find_map(|lane| plain::choose(inputs, lane, eligible)),
     }
--- a/crates/rudder-gateway/src/shared.rs
+++ b/crates/rudder-gateway/src/shared.rs
@@ -24,7 +24,7 @@
     balance::Balance,
     budget::Budget,
     call::to_hex,
-    choose::{Choice, Fields},
+    choose::{CandidateCache, Choice},
     contents::{Contents, REFUSED_FOR},
     dialect::EntriesQuery,
     health::Health,
@@ -134,7 +134,7 @@
     /// Its endpoints, by service.
     pub roster: RefCell<Rc<Roster>>,
     /// Those that requests may go to for the moment.
-    pub fields: RefCell<Fields>,
+    pub candidate_cache: RefCell<CandidateCache>,
     /// The configuration document, read.
     pub plan: RefCell<Option<Rc<Plan>>>,
     /// When the question was sent whose answer proves the plan the newest.
@@ -202,7 +202,7 @@
             tickets: Tickets::default(),
             view: RefCell::default(),
             roster: RefCell::default(),
-            fields: RefCell::default(),
+            candidate_cache: RefCell::default(),
             plan: RefCell::new(None),
             proof: watch::Sender::new(None),
             others_at: Cell::new(None),
@@ -318,7 +318,7 @@
             self.tell_ended(&roster);
         }
         *self.view.borrow_mut() = Rc::new(published);
-        self.fields.borrow_mut().clear();
+        self.candidate_cache.borrow_mut().clear();
     }
 
     /// Returns when a later life of the same name has replaced `endpoint`: nothing runs there any more.
@@ -418,7 +418,7 @@
             limits.record_report(*report, at);
         }
         self.metrics.set_limited(limits.count());
-        self.fields.borrow_mut().clear();
+        self.candidate_cache.borrow_mut().clear();
     }
 
     /// Records the work of the other instances at endpoints as of `at`; `None` where it has not changed.
@@ -427,7 +427,7 @@
         let Some(others) = others else { return };
         self.balance.borrow_mut().set_others(others);
         self.judge();
-        self.fields.borrow_mut().clear();
+        self.candidate_cache.borrow_mut().clear();
     }
 
     /// Leaves out the endpoints that fail far more than the others of their service.
--- a/crates/rudder-gateway/tests/field.rs
+++ b/crates/rudder-gateway/tests/candidates.rs
@@ -6,7 +6,7 @@
 
 use rudder_core::{Phase, Registration};
 use rudder_gateway::{
-    choose::{Field, Fields},
+    choose::{CandidateCache, Candidates},
     dialect::LimitNotice,
     health::Outcome,
 };
@@ -19,8 +19,8 @@
 }
 
 fn homes(engines: &[Registration], session: u64, skipped: &str) -> Vec<EndpointId> {
-    let field = Field::new(roster(engines).of("svc"), "svc", &Known::default().inputs());
-    let homes = field.bulk.homes::<2>(session, |held| *held.endpoint == *skipped);
+    let candidates = Candidates::new(roster(engines).of("svc"), "svc", &Known::default().inputs());
+    let homes = candidates.bulk.homes::<2>(session, |held| *held.endpoint == *skipped);
     homes.iter().map(|home| home.endpoint.clone()).collect()
 }
 
@@ -64,11 +64,11 @@
 #[test]
 fn a_field_is_worked_out_anew_when_an_engine_may_come_back() {
     let (mut known, roster) = (Known::default(), roster(&engines(3)));
-    let (mut fields, service, now) = (Fields::default(), "svc".into(), known.now);
+    let (mut candidate_cache, service, now) = (CandidateCache::default(), "svc".into(), known.now);
     known.health.note(&"e-1".into(), Outcome::Unreachable, now);
     let mut count_after = |millis: u64| {
         known.now = now + Duration::from_millis(millis);
-        fields.of(&service, &roster, &known.inputs()).bulk.endpoints.len()
+        candidate_cache.of(&service, &roster, &known.inputs()).bulk.endpoints.len()
     };
     assert_eq!(count_after(0), 2);
     assert_eq!(count_after(499), 2);
@@ -82,23 +82,23 @@
     engines[0].phase = Phase::Silent;
     engines[1].phase = Phase::Leaving;
     known.health.note(&"e-2".into(), Outcome::Unreachable, known.now);
-    let field = Field::new(roster(&engines).of("svc"), "svc", &known.inputs());
-    let names: Vec<&str> = field.doubtful.endpoints.iter().map(|held| &*held.endpoint).collect();
-    assert!(field.bulk.endpoints.is_empty() && field.quick.endpoints.is_empty());
+    let candidates = Candidates::new(roster(&engines).of("svc"), "svc", &known.inputs());
+    let names: Vec<&str> = candidates.fallback.endpoints.iter().map(|held| &*held.endpoint).collect();
+    assert!(candidates.bulk.endpoints.is_empty() && candidates.quick.endpoints.is_empty());
     assert_eq!(names, ["e-0", "e-2"]);
 }
 
-/// One that rests comes back when its rest is over, and is not among the doubtful meanwhile.
+/// One that rests comes back when its rest is over, and is not in the fallback lane meanwhile.
 #[test]
 fn a_field_has_none_that_rests_or_leaves() {
     let (mut known, roster) = (Known::default(), roster(&engines(3)));
-    let (mut fields, service, now) = (Fields::default(), "svc".into(), known.now);
+    let (mut candidate_cache, service, now) = (CandidateCache::default(), "svc".into(), known.now);
     known.backoff.record_backoff(&"e-1".into(), Duration::from_millis(150), now);
     known.backoff.record_leaving(&"e-2".into(), now);
     let mut count_after = |millis: u64| {
         known.now = now + Duration::from_millis(millis);
-        let field = fields.of(&service, &roster, &known.inputs());
-        (field.bulk.endpoints.len() + field.quick.endpoints.len(), field.doubtful.endpoints.len())
+        let candidates = candidate_cache.of(&service, &roster, &known.inputs());
+        (candidates.bulk.endpoints.len() + candidates.quick.endpoints.len(), candidates.fallback.endpoints.len())
     };
     assert_eq!(count_after(0), (1, 0));
     assert_eq!(count_after(149), (1, 0));
@@ -109,12 +109,12 @@
 #[test]
 fn a_field_has_none_whose_limit_is_used_up() {
     let (mut known, roster) = (Known::default(), roster(&engines(3)));
-    let (mut fields, service, now) = (Fields::default(), "svc".into(), known.now);
+    let (mut candidate_cache, service, now) = (CandidateCache::default(), "svc".into(), known.now);
     let limit = LimitNotice::Limited(RequestRate::try_from_per_second(1.0).expect("a rate"));
     known.limits.record_answer(&"e-1".into(), limit, now, now);
     let mut count_after = |millis: u64, known: &mut Known| {
         known.now = now + Duration::from_millis(millis);
-        fields.of(&service, &roster, &known.inputs()).bulk.endpoints.len()
+        candidate_cache.of(&service, &roster, &known.inputs()).bulk.endpoints.len()
     };
     assert_eq!(count_after(0, &mut known), 3);
     known.limits.record_denial("e-1", now + Duration::from_millis(300));
--- a/crates/rudder-gateway/tests/places.rs
+++ b/crates/rudder-gateway/tests/places.rs
@@ -8,7 +8,7 @@
 use rudder_core::{Registration, peer::Load};
 use rudder_gateway::{
     Plan, Policy, Route, RouteKind, Service,
-    choose::{self, Choice, Eligibility, Field},
+    choose::{self, Candidates, Choice, Eligibility},
     dialect::{Prompt, PromptPart},
     places::{Places, residency_of},
     plan::{Engine, Limits, Organisation, Share, WarmUp},
@@ -97,10 +97,10 @@
         };
         let prompt = self.known.plan.services["svc"].engine.map(|_| &prompt);
         let inputs = self.known.inputs();
-        let field = Field::new(roster(&self.endpoints).of("svc"), "svc", &inputs);
+        let candidates = Candidates::new(roster(&self.endpoints).of("svc"), "svc", &inputs);
         let homes = to_homes(homes);
         let eligible = Eligibility { residency: homes.as_deref(), ..Eligibility::default() };
-        choose::choose(&inputs, &to_route(&[]), "svc", &field, prompt, eligible)
+        choose::choose(&inputs, &to_route(&[]), "svc", &candidates, prompt, eligible)
     }
 
     fn hall_of(&self, choice: &Choice) -> HallId {
--- a/crates/rudder-gateway/tests/plain.rs
+++ b/crates/rudder-gateway/tests/plain.rs
@@ -7,7 +7,7 @@
 use rudder_core::{Registration, peer::Load};
 use rudder_gateway::{
     Plan, Route, RouteKind, Service,
-    choose::{self, Eligibility, Field},
+    choose::{self, Candidates, Eligibility},
     plan::{Limits, Share},
 };
 use rudder_model::{EndpointId, id};
@@ -62,8 +62,9 @@
     for number in 0..600 {
         known.hall = format!("hall-{}", number % calls.len()).as_str().into();
         let (inputs, route) = (known.inputs(), known.plan.find("h", "/lock/").expect("a route"));
-        let field = Field::new(roster.of("svc"), "svc", &inputs);
-        let choice = choose::choose(&inputs, route, "svc", &field, None, Eligibility::default()).expect("one is there");
+        let candidates = Candidates::new(roster.of("svc"), "svc", &inputs);
+        let choice =
+            choose::choose(&inputs, route, "svc", &candidates, None, Eligibility::default()).expect("one is there");
         *counts.entry(choice.endpoint.to_string()).or_default() += 1;
     }
     counts
@@ -96,10 +97,10 @@
     let endpoints = endpoints(300);
     let known = Known { hall: "hall-7".into(), plan: plan(), ..Known::default() };
     let (inputs, route) = (known.inputs(), known.plan.find("h", "/lock/").expect("a route"));
-    let field = Field::new(roster(&endpoints).of("svc"), "svc", &inputs);
+    let candidates = Candidates::new(roster(&endpoints).of("svc"), "svc", &inputs);
     let choose = |tried: &[EndpointId]| {
         let eligible = Eligibility { tried, ..Eligibility::default() };
-        choose::choose(&inputs, route, "svc", &field, None, eligible)
+        choose::choose(&inputs, route, "svc", &candidates, None, eligible)
     };
     assert_eq!(&*choose(&[]).expect("one is there").endpoint, "e-7", "the one in the instance's own hall");
     assert_ne!(&*choose(&["e-7".into()]).expect("others are there").endpoint, "e-7");
--- a/crates/rudder-gateway/tests/policy.rs
+++ b/crates/rudder-gateway/tests/policy.rs
@@ -10,7 +10,7 @@
     Plan, Route, RouteKind, Service,
     balance::Balance,
     budget::Budget,
-    choose::{self, Choice, Eligibility, Field},
+    choose::{self, Candidates, Choice, Eligibility},
     dialect::{Prompt, PromptPart},
     health::{Health, Outcome},
     lanes,
@@ -257,8 +257,15 @@
 
     fn choice(&self, path: &str, prompt: &Prompt, tried: &[Arc<str>]) -> Option<Choice> {
         let (inputs, route) = (self.known.inputs(), self.known.plan.find("h", path).expect("a route"));
-        let field = Field::new(roster(&self.engines).of("svc"), "svc", &inputs);
-        choose::choose(&inputs, route, "svc", &field, Some(prompt), Eligibility { tried, ..Eligibility::default() })
+        let candidates = Candidates::new(roster(&self.engines).of("svc"), "svc", &inputs);
+        choose::choose(
+            &inputs,
+            route,
+            "svc",
+            &candidates,
+            Some(prompt),
+            Eligibility { tried, ..Eligibility::default() },
+        )
     }
 }
 
