--- a/crates/rudder-gateway/src/call/attempt.rs
+++ b/crates/rudder-gateway/src/call/attempt.rs
@@ -311,14 +311,14 @@
     let roster = shared.roster.borrow().clone();
     let balance = shared.balance.borrow();
     let (health, backoff) = (shared.health.borrow(), shared.backoff.borrow());
-    let reading = shared.reading.borrow();
+    let prefill = shared.prefill.borrow();
     let (places, ramp, limits) = (shared.places.borrow(), shared.ramp.borrow(), shared.limits.borrow());
     let inputs = Inputs {
         balance: &balance,
         work_age: shared.work_age(),
         health: &health,
         backoff: &backoff,
-        reading: &reading,
+        prefill: &prefill,
         places: &places,
         ramp: &ramp,
         limits: &limits,
--- a/crates/rudder-gateway/src/call/permit.rs
+++ b/crates/rudder-gateway/src/call/permit.rs
@@ -65,7 +65,7 @@
 
 /// How long an engine takes to read what is unread there.
 pub(super) fn to_wait<D: Dialect>(shared: &Shared<D>, choice: &Choice) -> Duration {
-    shared.reading.borrow().time_for(&choice.service, choice.ahead)
+    shared.prefill.borrow().time_for(&choice.service, choice.ahead)
 }
 
 /// The key, the route and the quarantine are looked at again just before a request goes out: it may have waited.
--- a/crates/rudder-gateway/src/choose/candidates.rs
+++ b/crates/rudder-gateway/src/choose/candidates.rs
@@ -114,7 +114,7 @@
 /// The engines that a request may go to, divided where the service has quick routes beside others.
 fn to_lanes(inputs: &Inputs, service: &str, well: Vec<Arc<Registration>>) -> Lanes<Arc<Registration>> {
     let policy = &inputs.policy.lanes;
-    if !policy.enabled || lanes::quick_bound(policy, inputs.plan, service, inputs.reading).is_none() {
+    if !policy.enabled || lanes::quick_bound(policy, inputs.plan, service, inputs.prefill).is_none() {
         return Lanes { quick: Vec::new(), bulk: well };
     }
     lanes::divide(policy, well, service, inputs.balance)
--- a/crates/rudder-gateway/src/choose/engine.rs
+++ b/crates/rudder-gateway/src/choose/engine.rs
@@ -54,7 +54,7 @@
         prompt: &'a Prompt,
         eligible: Eligibility<'a>,
     ) -> Request<'a> {
-        let quick = lanes::is_quick(&inputs.policy.lanes, inputs.plan, route, service, inputs.reading);
+        let quick = lanes::is_quick(&inputs.policy.lanes, inputs.plan, route, service, inputs.prefill);
         Request { inputs, route, service, engine, prompt, eligible, quick }
     }
 
@@ -90,7 +90,7 @@
 
     fn is_copied(&self) -> bool {
         let ChoicePolicy { copied, copy_speed, .. } = *self.policy();
-        let cheap = self.engine.move_speed >= self.inputs.reading.speed(self.service) * copy_speed;
+        let cheap = self.engine.move_speed >= self.inputs.prefill.speed(self.service) * copy_speed;
         let long = copied > 0 && self.prompt.expected_answer() >= copied;
         self.engine.copies && cheap && self.quick && long
     }
@@ -122,7 +122,7 @@
         let policy = self.policy();
         let work = self.work(held);
         let ahead = u64::from(work.unread) + u64::from(work.calls) * u64::from(policy.call_cost);
-        let stray_most = self.inputs.reading.tokens_in(self.service, self.route.target.mul_f64(policy.again_most));
+        let stray_most = self.inputs.prefill.tokens_in(self.service, self.route.target.mul_f64(policy.again_most));
         let again = (u64::from(self.lacked(held, session)) * u64::from(policy.read_again)).min(stray_most);
         let far = self.quick && held.hall != *self.inputs.hall;
         let full = work.held + self.prompt.tokens > self.engine.memory;
@@ -184,7 +184,7 @@
 
     fn to_session(&self, lane: &Lane) -> Session {
         let least = self.policy().fetch_least;
-        let quicker = self.engine.move_speed > self.inputs.reading.speed(self.service);
+        let quicker = self.engine.move_speed > self.inputs.prefill.speed(self.service);
         let fetches = least > 0 && self.prompt.session_tokens() >= least && quicker;
         let session = self.prompt.session().filter(|_| self.policy().sessions);
         let skips = |held: &Registration| !self.may_take(held);
--- a/crates/rudder-gateway/src/choose/mod.rs
+++ b/crates/rudder-gateway/src/choose/mod.rs
@@ -24,8 +24,8 @@
     limits::Limits,
     places::Places,
     plan::Route,
+    prefill::PrefillSpeeds,
     ramp::{Ramp, Use},
-    reading::Reading,
 };
 
 /// What a choice rests on.
@@ -40,7 +40,7 @@
     /// Endpoints that want nothing.
     pub backoff: &'a Backoff,
     /// How fast engines read.
-    pub reading: &'a Reading,
+    pub prefill: &'a PrefillSpeeds,
     /// Where requests may go.
     pub places: &'a Places,
     /// Endpoints that are warming up.
--- a/crates/rudder-gateway/src/lanes.rs
+++ b/crates/rudder-gateway/src/lanes.rs
@@ -9,7 +9,7 @@
 use rudder_core::Registration;
 use rudder_model::{HallId, id};
 
-use crate::{Plan, Route, balance::Balance, policy::LanePolicy, reading::Reading};
+use crate::{Plan, Route, balance::Balance, policy::LanePolicy, prefill::PrefillSpeeds};
 
 /// Tokens of a prompt that an engine reads between two tokens of its streams: the usual size of such pieces, and the
 /// one that the pauses seen on the platform fit.
@@ -20,11 +20,11 @@
 /// The longest pause of a service's quick routes; `None` where it has none beside others. Quick are pauses far shorter
 /// than the longest, and the shortest where an engine that reads all the time makes about as long ones: between
 /// two tokens it reads a piece of a prompt, and an event waits for several tokens.
-pub fn quick_bound(policy: &LanePolicy, plan: &Plan, service: &str, reading: &Reading) -> Option<Duration> {
+pub fn quick_bound(policy: &LanePolicy, plan: &Plan, service: &str, prefill: &PrefillSpeeds) -> Option<Duration> {
     let pauses = plan.pauses(service)?;
     let far_shorter = pauses.longest.mul_f64(policy.quick);
     let engine = plan.services.get(service)?.engine?;
-    let crowded = reading.time_for(service, PIECE.saturating_mul(engine.event_tokens));
+    let crowded = prefill.time_for(service, PIECE.saturating_mul(engine.event_tokens));
     let bound = if pauses.shortest < pauses.longest && crowded >= pauses.shortest.mul_f64(policy.crowded) {
         far_shorter.max(pauses.shortest)
     } else {
@@ -34,8 +34,8 @@
 }
 
 /// True where a route's streams at one of its services suffer from long prompts beside them.
-pub fn is_quick(policy: &LanePolicy, plan: &Plan, route: &Route, service: &str, reading: &Reading) -> bool {
-    let bound = quick_bound(policy, plan, service, reading);
+pub fn is_quick(policy: &LanePolicy, plan: &Plan, route: &Route, service: &str, prefill: &PrefillSpeeds) -> bool {
+    let bound = quick_bound(policy, plan, service, prefill);
     route.pause.is_some_and(|pause| bound.is_some_and(|bound| pause <= bound))
 }
 
--- a/crates/rudder-gateway/src/reading.rs
+++ b/crates/rudder-gateway/src/prefill.rs
@@ -11,13 +11,13 @@
 /// Speeds outside these bounds come from samples that were not what they seemed.
 const BOUNDS: (f64, f64) = (3.0, 300.0);
 
-/// Reading speeds by service.
+/// Prefill speeds by service.
 #[derive(Debug, Default)]
-pub struct Reading {
+pub struct PrefillSpeeds {
     speeds: HashMap<Arc<str>, f64>,
 }
 
-impl Reading {
+impl PrefillSpeeds {
     /// Records that a first event came `after` the request was sent, behind `tokens`.
     pub fn note(&mut self, service: &Arc<str>, tokens: u32, after: Duration) {
         if tokens < LOADED {
--- a/crates/rudder-gateway/src/shared.rs
+++ b/crates/rudder-gateway/src/shared.rs
@@ -33,8 +33,8 @@
     logging::Log,
     metrics::{Metrics, Standing},
     places::Places,
+    prefill::PrefillSpeeds,
     ramp::Ramp,
-    reading::Reading,
     recent::{self, Tally},
     roster::Roster,
     upstream::Pool,
@@ -152,7 +152,7 @@
     /// What became of contents at endpoints.
     pub contents: RefCell<Contents>,
     /// How fast engines read.
-    pub reading: RefCell<Reading>,
+    pub prefill: RefCell<PrefillSpeeds>,
     /// Where requests may go.
     pub places: RefCell<Places>,
     /// Endpoints that are warming up.
@@ -211,7 +211,7 @@
             backoff: RefCell::default(),
             limits: RefCell::default(),
             contents: RefCell::new(Contents::new(started)),
-            reading: RefCell::default(),
+            prefill: RefCell::default(),
             budget: RefCell::new(budget),
             pool: RefCell::default(),
             replaced: watch::Sender::new(()),
--- a/crates/rudder-gateway/src/stream.rs
+++ b/crates/rudder-gateway/src/stream.rs
@@ -214,7 +214,7 @@
                 let tokens = choice.ahead + choice.unread;
                 let after = now.saturating_duration_since(sent);
                 self.shared.metrics.note_first(&self.call.route, now.saturating_duration_since(self.call.arrived));
-                self.shared.reading.borrow_mut().note(&choice.service, tokens, after);
+                self.shared.prefill.borrow_mut().note(&choice.service, tokens, after);
             }
             if let Some(pause) = self.pauses.note(Moment::now()) {
                 self.shared.metrics.note_pause(pause);
--- a/crates/rudder-gateway/tests/policy.rs
+++ b/crates/rudder-gateway/tests/policy.rs
@@ -16,7 +16,7 @@
     lanes,
     plan::{Engine, Fault, Limits, Organisation, Share},
     policy::LanePolicy,
-    reading::Reading,
+    prefill::PrefillSpeeds,
     recent::{Recent, Tally, suspects},
     stream::Events,
 };
@@ -187,11 +187,11 @@
     let plan = plan();
     let policy = LanePolicy::default();
     let is_quick = |path: &str| {
-        lanes::is_quick(&policy, &plan, plan.find("h", path).expect("a route"), "svc", &Reading::default())
+        lanes::is_quick(&policy, &plan, plan.find("h", path).expect("a route"), "svc", &PrefillSpeeds::default())
     };
     assert_eq!([is_quick("/grade/"), is_quick("/answer/"), is_quick("/recap/")], [true, false, false]);
-    assert!(lanes::quick_bound(&policy, &plan, "svc", &Reading::default()).is_some());
-    assert!(lanes::quick_bound(&policy, &plan, "another", &Reading::default()).is_none());
+    assert!(lanes::quick_bound(&policy, &plan, "svc", &PrefillSpeeds::default()).is_some());
+    assert!(lanes::quick_bound(&policy, &plan, "another", &PrefillSpeeds::default()).is_none());
     assert!(plan.is_lowest(plan.find("h", "/recap/").expect("a route"), "svc"));
 }
 
@@ -287,7 +287,7 @@
             for pause in [$($pause),+] {
                 plan.add_route(route(&format!("p{pause}"), pause, 0)).expect("it fits");
             }
-            let bound = lanes::quick_bound(&LanePolicy::default(), &plan, "svc", &Reading::default());
+            let bound = lanes::quick_bound(&LanePolicy::default(), &plan, "svc", &PrefillSpeeds::default());
             assert_eq!(bound.map(|bound| bound.as_millis()), $expected);
         })*
     };
@@ -528,14 +528,14 @@
 
 #[test]
 fn reading_speed_follows_what_is_measured_behind_a_load() {
-    let mut reading = Reading::default();
+    let mut prefill = PrefillSpeeds::default();
     let service: Arc<str> = "svc".into();
-    let before = reading.time_for("svc", 30_000);
+    let before = prefill.time_for("svc", 30_000);
     for _ in 0..200 {
-        reading.note(&service, 20_000, Duration::from_secs(2));
-        reading.note(&service, 100, Duration::from_secs(2));
+        prefill.note(&service, 20_000, Duration::from_secs(2));
+        prefill.note(&service, 100, Duration::from_secs(2));
     }
-    let after = reading.time_for("svc", 30_000);
+    let after = prefill.time_for("svc", 30_000);
     assert!(after > before * 2, "{before:?} {after:?}");
     assert!((Duration::from_millis(2900)..Duration::from_millis(3100)).contains(&after), "{after:?}");
 }
--- a/crates/rudder-gateway/tests/support/mod.rs
+++ b/crates/rudder-gateway/tests/support/mod.rs
@@ -7,7 +7,7 @@
 use rudder_core::{Phase, Registration};
 use rudder_gateway::{
     Plan, Policy, backoff::Backoff, balance::Balance, choose::Inputs, health::Health, limits::Limits, places::Places,
-    ramp::Ramp, reading::Reading, roster::Roster,
+    prefill::PrefillSpeeds, ramp::Ramp, roster::Roster,
 };
 use rudder_model::HallId;
 
@@ -39,7 +39,7 @@
     pub work_age: Duration,
     pub health: Health,
     pub backoff: Backoff,
-    pub reading: Reading,
+    pub prefill: PrefillSpeeds,
     pub places: Places,
     pub ramp: Ramp,
     pub limits: Limits,
@@ -57,7 +57,7 @@
             work_age: Duration::ZERO,
             health: Health::default(),
             backoff: Backoff::default(),
-            reading: Reading::default(),
+            prefill: PrefillSpeeds::default(),
             places: Places::default(),
             ramp: Ramp::new("me".into(), now),
             limits: Limits::default(),
@@ -77,7 +77,7 @@
             work_age: self.work_age,
             health: &self.health,
             backoff: &self.backoff,
-            reading: &self.reading,
+            prefill: &self.prefill,
             places: &self.places,
             ramp: &self.ramp,
             limits: &self.limits,
