--- a/crates/rudder-gateway/benches/choice.rs
+++ b/crates/rudder-gateway/benches/choice.rs
@@ -53,7 +53,7 @@
             plan: to_plan(engines),
             ..Known::default()
         };
-        known.balance.set_others(&loads);
+        known.loads.set_others(&loads);
         Scene { roster: roster(&endpoints), loads, known }
     }
 
@@ -133,5 +133,5 @@
 fn take_loads(bencher: Bencher, count: usize) {
     let mut scene = Scene::new(count, true);
     let loads = scene.loads.clone();
-    bencher.bench_local(|| scene.known.balance.set_others(black_box(&loads)));
+    bencher.bench_local(|| scene.known.loads.set_others(black_box(&loads)));
 }
--- a/crates/rudder-gateway/src/call/attempt.rs
+++ b/crates/rudder-gateway/src/call/attempt.rs
@@ -20,11 +20,11 @@
 };
 use crate::{
     Dialect,
-    balance::Flight,
     choose::{self, Choice, Eligibility, Inputs},
     dialect::{LimitNotice, Pushback},
     health::Outcome,
     limits::{Permit, Recorded},
+    loads::InFlight,
     shared::Shared,
     upstream::{self, Connection},
 };
@@ -66,7 +66,7 @@
 /// Records how a request ended at an endpoint.
 pub fn note_outcome<D: Dialect>(shared: &Shared<D>, endpoint: &EndpointId, outcome: Outcome) {
     let failed = matches!(outcome, Outcome::Failed | Outcome::Unreachable);
-    shared.balance.borrow_mut().note_end(endpoint, failed, Moment::now());
+    shared.loads.borrow_mut().note_end(endpoint, failed, Moment::now());
     if !shared.options.policy.guard.ejection && outcome != Outcome::Replaced {
         return;
     }
@@ -177,7 +177,7 @@
     let prompt = call.prompt.as_ref();
     let unread = choice.unread;
     let memory = prompt.map_or(0, |prompt| prompt.tokens + prompt.expected_answer());
-    let flight = Flight::start(&shared.balance, &choice.endpoint, unread, memory);
+    let flight = InFlight::start(&shared.loads, &choice.endpoint, unread, memory);
     let response = wait_for_head(shared, call, progress, &choice, &mut connection, request).await?;
     let (parts, body) = response.into_parts();
     let head = shared.dialect.read_answer(&call.id, &parts);
@@ -309,12 +309,12 @@
 pub(super) fn pick<D: Dialect>(shared: &Shared<D>, call: &Call, progress: &Progress) -> Option<Choice> {
     let plan = shared.current_plan()?;
     let roster = shared.roster.borrow().clone();
-    let balance = shared.balance.borrow();
+    let loads = shared.loads.borrow();
     let (health, backoff) = (shared.health.borrow(), shared.backoff.borrow());
     let prefill = shared.prefill.borrow();
     let (places, ramp, limits) = (shared.places.borrow(), shared.ramp.borrow(), shared.limits.borrow());
     let inputs = Inputs {
-        balance: &balance,
+        loads: &loads,
         work_age: shared.work_age(),
         health: &health,
         backoff: &backoff,
--- a/crates/rudder-gateway/src/call/copies.rs
+++ b/crates/rudder-gateway/src/call/copies.rs
@@ -30,7 +30,7 @@
     let before = progress.last.take()?;
     let keeper = before.keeper.as_ref()?;
     note_outcome(shared, &before.endpoint, Outcome::Unreachable);
-    let work = shared.balance.borrow().at(&keeper.endpoint);
+    let work = shared.loads.borrow().at(&keeper.endpoint);
     if work.calls >= keeper.slots {
         // What goes on from a copy is let in first, so that a full engine would preempt another for it, be that one
         // more urgent.
--- a/crates/rudder-gateway/src/call/mod.rs
+++ b/crates/rudder-gateway/src/call/mod.rs
@@ -43,11 +43,11 @@
 
 use crate::{
     Dialect, Route, RouteKind,
-    balance::Flight,
     body::AnswerBody,
     choose::Choice,
     dialect::{AnswerHead, CallHead, Forward, Prompt},
     holdings::Cut,
+    loads::InFlight,
     metrics::Ending,
     places::Residency,
     shared::{Shared, Stage},
@@ -112,7 +112,7 @@
     /// The connection that it came on.
     pub connection: Connection,
     /// Its count at the endpoint.
-    pub flight: Flight,
+    pub flight: InFlight,
     /// When it was sent.
     pub sent: Moment,
     /// It goes on with a run that began elsewhere.
--- a/crates/rudder-gateway/src/choose/candidates.rs
+++ b/crates/rudder-gateway/src/choose/candidates.rs
@@ -117,7 +117,7 @@
     if !policy.enabled || lanes::quick_bound(policy, inputs.plan, service, inputs.prefill).is_none() {
         return Lanes { quick: Vec::new(), bulk: well };
     }
-    lanes::divide(policy, well, service, inputs.balance)
+    lanes::divide(policy, well, service, inputs.loads)
 }
 
 /// Recently computed candidates by service.
--- a/crates/rudder-gateway/src/choose/engine.rs
+++ b/crates/rudder-gateway/src/choose/engine.rs
@@ -11,9 +11,9 @@
 use super::{Choice, Eligibility, Inputs, Keeper, Lane, to_choice};
 use crate::{
     Route,
-    balance::Work,
     dialect::Prompt,
     lanes,
+    loads::Work,
     plan::Engine,
     policy::{ChoicePolicy, LanePolicy},
 };
@@ -85,7 +85,7 @@
     }
 
     fn work(&self, held: &Registration) -> Work {
-        self.inputs.balance.at(&held.endpoint)
+        self.inputs.loads.at(&held.endpoint)
     }
 
     fn is_copied(&self) -> bool {
--- a/crates/rudder-gateway/src/choose/mod.rs
+++ b/crates/rudder-gateway/src/choose/mod.rs
@@ -18,10 +18,10 @@
 use crate::{
     Plan, Policy,
     backoff::Backoff,
-    balance::Balance,
     dialect::Prompt,
     health::Health,
     limits::Limits,
+    loads::EndpointLoads,
     places::Places,
     plan::Route,
     prefill::PrefillSpeeds,
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 pub struct Inputs<'a> {
     /// Work under way.
-    pub balance: &'a Balance,
+    pub loads: &'a EndpointLoads,
     /// How old the others' part of it is.
     pub work_age: Duration,
     /// Outcomes.
@@ -160,7 +160,7 @@
 }
 
 fn to_choice(inputs: &Inputs, chosen: &Registration, unread: u32) -> Choice {
-    let work = inputs.balance.at(&chosen.endpoint);
+    let work = inputs.loads.at(&chosen.endpoint);
     Choice {
         endpoint: chosen.endpoint.clone(),
         born: chosen.born,
--- a/crates/rudder-gateway/src/choose/plain.rs
+++ b/crates/rudder-gateway/src/choose/plain.rs
@@ -23,7 +23,7 @@
 /// Picks one of the eligible endpoints.
 pub(super) fn choose(inputs: &Inputs, lane: &Lane, eligible: Eligibility) -> Option<Choice> {
     let candidates = draw(inputs, lane, eligible);
-    let calls = |held: &Registration| inputs.balance.at(&held.endpoint).calls;
+    let calls = |held: &Registration| inputs.loads.at(&held.endpoint).calls;
     let least = candidates.iter().map(|held| calls(held)).min()?;
     let come = come_since(inputs, &candidates);
     let equal = |held: &&&Registration| {
@@ -56,7 +56,7 @@
 
 /// Requests that came to one of the endpoints, in the mean, since the others' counts were taken.
 fn come_since(inputs: &Inputs, candidates: &[&Registration]) -> f64 {
-    let ended: u32 = candidates.iter().map(|held| inputs.balance.tally(&held.endpoint, inputs.now).ended).sum();
+    let ended: u32 = candidates.iter().map(|held| inputs.loads.tally(&held.endpoint, inputs.now).ended).sum();
     let rate = f64::from(ended) / Duration::from_secs(SPAN).as_secs_f64();
     rate * inputs.work_age.as_secs_f64() / candidates.len().max(1) as f64
 }
--- a/crates/rudder-gateway/src/lanes.rs
+++ b/crates/rudder-gateway/src/lanes.rs
@@ -9,7 +9,7 @@
 use rudder_core::Registration;
 use rudder_model::{HallId, id};
 
-use crate::{Plan, Route, balance::Balance, policy::LanePolicy, prefill::PrefillSpeeds};
+use crate::{Plan, Route, loads::EndpointLoads, policy::LanePolicy, prefill::PrefillSpeeds};
 
 /// Tokens of a prompt that an engine reads between two tokens of its streams: the usual size of such pieces, and the
 /// one that the pauses seen on the platform fit.
@@ -49,7 +49,7 @@
 }
 
 /// Divides the engines of `service`.
-pub fn divide<E>(policy: &LanePolicy, mut engines: Vec<E>, service: &str, balance: &Balance) -> Lanes<E>
+pub fn divide<E>(policy: &LanePolicy, mut engines: Vec<E>, service: &str, loads: &EndpointLoads) -> Lanes<E>
 where
     E: Clone + Deref<Target = Registration>,
 {
@@ -58,7 +58,7 @@
     }
     engines.sort_by_cached_key(|engine| id::rendezvous(service, &engine.endpoint));
     take_halls_in_turn(&mut engines);
-    let bulk = engines.split_off(quick_count(policy, &engines, balance));
+    let bulk = engines.split_off(quick_count(policy, &engines, loads));
     Lanes { quick: engines, bulk }
 }
 
@@ -77,14 +77,14 @@
 }
 
 /// How many of the ranked engines the quick lane has.
-fn quick_count<E: Deref<Target = Registration>>(policy: &LanePolicy, ranked: &[E], balance: &Balance) -> usize {
+fn quick_count<E: Deref<Target = Registration>>(policy: &LanePolicy, ranked: &[E], loads: &EndpointLoads) -> usize {
     let largest = ((ranked.len() as f64 * policy.largest) as usize).max(1);
     let least = if ranked.len() >= TWO_FROM { 2 } else { 1 };
     let mut count = ((ranked.len() as f64 * policy.smallest).round() as usize).max(least);
-    let mut calls: u32 = ranked[..count].iter().map(|engine| balance.at(&engine.endpoint).calls).sum();
+    let mut calls: u32 = ranked[..count].iter().map(|engine| loads.at(&engine.endpoint).calls).sum();
     let mut slots: u32 = ranked[..count].iter().map(|engine| engine.slots).sum();
     while count < largest && f64::from(calls) > f64::from(slots) * policy.fill {
-        calls += balance.at(&ranked[count].endpoint).calls;
+        calls += loads.at(&ranked[count].endpoint).calls;
         slots += ranked[count].slots;
         count += 1;
     }
--- a/crates/rudder-gateway/src/lib.rs
+++ b/crates/rudder-gateway/src/lib.rs
@@ -9,7 +9,6 @@
 #![deny(missing_docs, unsafe_code)]
 
 pub mod backoff;
-pub mod balance;
 pub mod body;
 pub mod budget;
 pub mod call;
@@ -23,6 +22,7 @@
 pub mod holdings;
 pub mod lanes;
 pub mod limits;
+pub mod loads;
 pub mod logging;
 pub mod metrics;
 pub mod operate;
--- a/crates/rudder-gateway/src/balance.rs
+++ b/crates/rudder-gateway/src/loads.rs
@@ -14,7 +14,7 @@
 
 /// Work of this instance at all endpoints, and the last word of the others.
 #[derive(Debug, Default)]
-pub struct Balance {
+pub struct EndpointLoads {
     own: HashMap<EndpointId, Load>,
     others: HashMap<EndpointTag, Load>,
     recent: Recent,
@@ -31,7 +31,7 @@
     pub held: u32,
 }
 
-impl Balance {
+impl EndpointLoads {
     /// All work at `endpoint`, as far as is known here.
     pub fn at(&self, endpoint: &str) -> Work {
         let mut work = Work::default();
@@ -87,41 +87,41 @@
     }
 }
 
-/// One request under way at an endpoint; its end, however it comes, takes it off the balance.
+/// One request under way at an endpoint; its end, however it comes, removes it from the loads.
 #[derive(Debug)]
-pub struct Flight {
-    balance: Rc<RefCell<Balance>>,
+pub struct InFlight {
+    loads: Rc<RefCell<EndpointLoads>>,
     endpoint: EndpointId,
     unread: u32,
     held: u32,
 }
 
-impl Flight {
+impl InFlight {
     /// Counts a request of `unread` prompt tokens that needs up to `held` tokens of memory.
-    pub fn start(balance: &Rc<RefCell<Balance>>, endpoint: &EndpointId, unread: u32, held: u32) -> Flight {
-        let mut borrowed = balance.borrow_mut();
+    pub fn start(loads: &Rc<RefCell<EndpointLoads>>, endpoint: &EndpointId, unread: u32, held: u32) -> InFlight {
+        let mut borrowed = loads.borrow_mut();
         let load = borrowed.entry(endpoint);
         load.calls += 1;
         load.unread += unread;
         load.held += held;
         drop(borrowed);
-        Flight { balance: balance.clone(), endpoint: endpoint.clone(), unread, held }
+        InFlight { loads: loads.clone(), endpoint: endpoint.clone(), unread, held }
     }
 
     /// Records that the first output came, so the prompt has been read.
     pub fn note_read(&mut self) {
         let unread = std::mem::take(&mut self.unread);
-        let mut balance = self.balance.borrow_mut();
-        let load = balance.entry(&self.endpoint);
+        let mut loads = self.loads.borrow_mut();
+        let load = loads.entry(&self.endpoint);
         load.unread = load.unread.saturating_sub(unread);
     }
 }
 
-impl Drop for Flight {
+impl Drop for InFlight {
     fn drop(&mut self) {
         self.note_read();
-        let mut balance = self.balance.borrow_mut();
-        let load = balance.entry(&self.endpoint);
+        let mut loads = self.loads.borrow_mut();
+        let load = loads.entry(&self.endpoint);
         load.calls = load.calls.saturating_sub(1);
         load.held = load.held.saturating_sub(self.held);
     }
--- a/crates/rudder-gateway/src/metrics.rs
+++ b/crates/rudder-gateway/src/metrics.rs
@@ -460,9 +460,9 @@
         state.dropped.set(number(budget + blocked));
         state.calls.clear();
         state.unread.clear();
-        let balance = shared.balance.borrow();
+        let loads = shared.loads.borrow();
         for registration in &view.endpoints {
-            let work = balance.at(&registration.endpoint);
+            let work = loads.at(&registration.endpoint);
             let at = At { endpoint: registration.endpoint.to_string() };
             state.calls.get_or_create(&at).set(i64::from(work.calls));
             state.unread.get_or_create(&at).set(i64::from(work.unread));
--- a/crates/rudder-gateway/src/run.rs
+++ b/crates/rudder-gateway/src/run.rs
@@ -174,7 +174,7 @@
             described = Moment::now();
             shared.tell(Event::Services(scaling::to_states(&shared)));
         }
-        let loads = shared.balance.borrow_mut().to_loads(Moment::now());
+        let loads = shared.loads.borrow_mut().to_loads(Moment::now());
         if loads != told {
             told.clone_from(&loads);
             shared.tell(Event::Loads(loads));
--- a/crates/rudder-gateway/src/scaling.rs
+++ b/crates/rudder-gateway/src/scaling.rs
@@ -18,8 +18,8 @@
 fn to_state<D: Dialect>(shared: &Shared<D>, service: &Service, bounds: &Bounds) -> ServiceState {
     let roster = shared.roster.borrow().clone();
     let endpoints = roster.of(&service.name);
-    let balance = shared.balance.borrow();
-    let calls: u32 = endpoints.iter().map(|held| balance.at(&held.endpoint).calls).sum();
+    let loads = shared.loads.borrow();
+    let calls: u32 = endpoints.iter().map(|held| loads.at(&held.endpoint).calls).sum();
     let demand = Demand { calls, slots: endpoints.iter().map(|held| held.slots).max().unwrap_or_default() };
     let halls = count_by_hall(endpoints.iter().map(|held| &**held), bounds);
     ServiceState { service: service.name.clone(), bounds: bounds.clone(), demand, halls }
--- a/crates/rudder-gateway/src/shared.rs
+++ b/crates/rudder-gateway/src/shared.rs
@@ -21,7 +21,6 @@
 use crate::{
     Dialect, Options, Plan, Route,
     backoff::Backoff,
-    balance::Balance,
     budget::Budget,
     call::to_hex,
     choose::{CandidateCache, Choice},
@@ -30,6 +29,7 @@
     health::Health,
     holdings::Holdings,
     limits::{Limits, Permit},
+    loads::EndpointLoads,
     logging::Log,
     metrics::{Metrics, Standing},
     places::Places,
@@ -142,7 +142,7 @@
     /// When the others' work was as it is known here.
     pub others_at: Cell<Option<Moment>>,
     /// Work under way at endpoints.
-    pub balance: Rc<RefCell<Balance>>,
+    pub loads: Rc<RefCell<EndpointLoads>>,
     /// Outcomes at endpoints.
     pub health: RefCell<Health>,
     /// Endpoints that want nothing.
@@ -206,7 +206,7 @@
             plan: RefCell::new(None),
             proof: watch::Sender::new(None),
             others_at: Cell::new(None),
-            balance: Rc::default(),
+            loads: Rc::default(),
             health: RefCell::default(),
             backoff: RefCell::default(),
             limits: RefCell::default(),
@@ -308,7 +308,7 @@
         self.take_evacuations(&published.evacuations);
         self.ramp.borrow_mut().set_senders(published.senders().collect(), Moment::now());
         let roster = Rc::new(Roster::new(published.endpoints.iter().cloned()));
-        self.balance.borrow_mut().retain(|endpoint| roster.knows(endpoint));
+        self.loads.borrow_mut().retain(|endpoint| roster.knows(endpoint));
         self.health.borrow_mut().retain(|endpoint| roster.knows(endpoint));
         self.limits.borrow_mut().retain(roster.endpoints(), Moment::now());
         self.metrics.set_limited(self.limits.borrow().count());
@@ -425,7 +425,7 @@
     pub fn take_others(&self, others: Option<&[Load]>, at: Moment) {
         self.others_at.set(Some(at));
         let Some(others) = others else { return };
-        self.balance.borrow_mut().set_others(others);
+        self.loads.borrow_mut().set_others(others);
         self.judge();
         self.candidate_cache.borrow_mut().clear();
     }
@@ -435,15 +435,15 @@
         if !self.options.policy.guard.suspects {
             return;
         }
-        let (now, balance, roster) = (Moment::now(), self.balance.borrow(), self.roster.borrow().clone());
+        let (now, loads, roster) = (Moment::now(), self.loads.borrow(), self.roster.borrow().clone());
         let mut services: Vec<Vec<(EndpointId, Tally)>> = Vec::new();
         for endpoints in roster.services() {
             let ready = endpoints.iter().filter(|held| held.phase == Phase::Ready);
-            services.push(ready.map(|held| (held.endpoint.clone(), balance.tally(&held.endpoint, now))).collect());
+            services.push(ready.map(|held| (held.endpoint.clone(), loads.tally(&held.endpoint, now))).collect());
         }
         let suspects = services.iter().flat_map(|tallies| recent::suspects(tallies)).collect();
         for endpoint in self.health.borrow_mut().set_suspects(suspects) {
-            let Tally { ended, failed } = balance.tally(&endpoint, now);
+            let Tally { ended, failed } = loads.tally(&endpoint, now);
             self.metrics.note_ejection();
             self.log.write(What::Suspect { endpoint, ended, failed });
         }
--- a/crates/rudder-gateway/tests/places.rs
+++ b/crates/rudder-gateway/tests/places.rs
@@ -207,7 +207,7 @@
         .collect();
     let load = |held: &Registration| Load { calls: 24, unread: 60_000, ..Load::none(id::endpoint_tag(&held.endpoint)) };
     let busy: Vec<Load> = scene.endpoints.iter().filter(|held| !held.warming).map(load).collect();
-    scene.known.balance.set_others(&busy);
+    scene.known.loads.set_others(&busy);
     for _ in 0..50 {
         let choice = scene.choose(&[]).expect("many are there");
         let chosen = scene.endpoints.iter().find(|held| held.endpoint == choice.endpoint);
--- a/crates/rudder-gateway/tests/plain.rs
+++ b/crates/rudder-gateway/tests/plain.rs
@@ -57,7 +57,7 @@
     };
     let loads: Vec<Load> = calls.iter().enumerate().map(load).collect();
     let mut known = Known { work_age: age, plan: plan(), ..Known::default() };
-    known.balance.set_others(&loads);
+    known.loads.set_others(&loads);
     let mut counts = BTreeMap::new();
     for number in 0..600 {
         known.hall = format!("hall-{}", number % calls.len()).as_str().into();
--- a/crates/rudder-gateway/tests/policy.rs
+++ b/crates/rudder-gateway/tests/policy.rs
@@ -8,12 +8,12 @@
 use rudder_core::{Phase, Registration, peer::Load};
 use rudder_gateway::{
     Plan, Route, RouteKind, Service,
-    balance::Balance,
     budget::Budget,
     choose::{self, Candidates, Choice, Eligibility},
     dialect::{Prompt, PromptPart},
     health::{Health, Outcome},
     lanes,
+    loads::EndpointLoads,
     plan::{Engine, Fault, Limits, Organisation, Share},
     policy::LanePolicy,
     prefill::PrefillSpeeds,
@@ -144,11 +144,11 @@
 /// One of many instances sends few requests to one endpoint; with the others' outcomes it learns at once.
 #[test]
 fn outcomes_told_by_others_count_as_own() {
-    let (mut balance, now) = (Balance::default(), Moment::now());
-    balance.note_end(&"e-1".into(), true, now);
-    assert_eq!(balance.to_loads(now), vec![Load { ended: 1, failed: 1, ..Load::none(id::endpoint_tag("e-1")) }]);
-    balance.set_others(&[Load { ended: 5, failed: 2, ..Load::none(id::endpoint_tag("e-1")) }]);
-    assert_eq!(balance.tally("e-1", now), Tally { ended: 6, failed: 3 });
+    let (mut endpoint_loads, now) = (EndpointLoads::default(), Moment::now());
+    endpoint_loads.note_end(&"e-1".into(), true, now);
+    assert_eq!(endpoint_loads.to_loads(now), vec![Load { ended: 1, failed: 1, ..Load::none(id::endpoint_tag("e-1")) }]);
+    endpoint_loads.set_others(&[Load { ended: 5, failed: 2, ..Load::none(id::endpoint_tag("e-1")) }]);
+    assert_eq!(endpoint_loads.tally("e-1", now), Tally { ended: 6, failed: 3 });
 }
 
 #[test]
@@ -199,10 +199,10 @@
 fn the_quick_lane_grows_with_its_load_and_never_past_half() {
     let engines = engines(9);
     let size = |calls: u32| {
-        let mut balance = Balance::default();
+        let mut endpoint_loads = EndpointLoads::default();
         let loads: Vec<Load> = engines.iter().map(|engine| load(&engine.endpoint, calls, 0)).collect();
-        balance.set_others(&loads);
-        lanes::divide(&LanePolicy::default(), engines.iter().collect(), "svc", &balance).quick.len()
+        endpoint_loads.set_others(&loads);
+        lanes::divide(&LanePolicy::default(), engines.iter().collect(), "svc", &endpoint_loads).quick.len()
     };
     assert_eq!([size(0), size(64)], [2, 4]);
 }
@@ -212,7 +212,7 @@
 fn the_quick_lane_is_a_fifth_of_many_engines() {
     let size = |count: usize| {
         let engines = engines(count);
-        lanes::divide(&LanePolicy::default(), engines.iter().collect(), "svc", &Balance::default()).quick.len()
+        lanes::divide(&LanePolicy::default(), engines.iter().collect(), "svc", &EndpointLoads::default()).quick.len()
     };
     assert_eq!([size(2), size(6), size(9), size(12), size(90)], [1, 2, 2, 2, 18]);
 }
@@ -224,7 +224,7 @@
     for (number, engine) in engines.iter_mut().enumerate() {
         engine.hall = format!("hall-{}", number % 3).as_str().into();
     }
-    let lanes = lanes::divide(&LanePolicy::default(), engines.iter().collect(), "svc", &Balance::default());
+    let lanes = lanes::divide(&LanePolicy::default(), engines.iter().collect(), "svc", &EndpointLoads::default());
     let count = |hall: &str| lanes.quick.iter().filter(|engine| &*engine.hall == hall).count();
     assert_eq!([count("hall-0"), count("hall-1"), count("hall-2")], [6, 6, 6]);
 }
@@ -233,7 +233,7 @@
 fn all_instances_draw_the_same_line() {
     let mut engines = engines(9);
     let names = |engines: &[Registration]| -> Vec<String> {
-        let lanes = lanes::divide(&LanePolicy::default(), engines.iter().collect(), "svc", &Balance::default());
+        let lanes = lanes::divide(&LanePolicy::default(), engines.iter().collect(), "svc", &EndpointLoads::default());
         lanes.quick.iter().map(|engine| engine.endpoint.to_string()).collect()
     };
     let first = names(&engines);
@@ -316,7 +316,7 @@
         .filter(|held| held.endpoint == home.endpoint)
         .map(|held| load(&held.endpoint, 30, 90_000))
         .collect();
-    scene.known.balance.set_others(&busy);
+    scene.known.loads.set_others(&busy);
     (scene.choice("/recap/", &prompt(7), &[]).expect("a choice"), home.address)
 }
 
@@ -325,14 +325,14 @@
 fn quick_streams_leave_a_lane_whose_slots_are_in_use() {
     let mut scene = Scene::new();
     let lane = |scene: &Scene| -> Vec<EndpointId> {
-        let lanes = lanes::divide(&LanePolicy::default(), scene.engines.iter().collect(), "svc", &scene.known.balance);
+        let lanes = lanes::divide(&LanePolicy::default(), scene.engines.iter().collect(), "svc", &scene.known.loads);
         lanes.quick.iter().map(|held| held.endpoint.clone()).collect()
     };
     let fill = |scene: &mut Scene, calls: u32| {
         let quick = lane(scene);
         let calls_at = |held: &Registration| if quick.contains(&held.endpoint) { calls } else { 3 };
         let loads: Vec<Load> = scene.engines.iter().map(|held| load(&held.endpoint, calls_at(held), 0)).collect();
-        scene.known.balance.set_others(&loads);
+        scene.known.loads.set_others(&loads);
     };
     for _ in 0..4 {
         fill(&mut scene, 40);
@@ -391,16 +391,16 @@
     for _ in 0..20 {
         assert_eq!(scene.choose("/recap/", &prompt, &[]).as_deref(), Some(home.as_str()));
     }
-    scene.known.balance.set_others(&[load(&home, 3, 14_000)]);
+    scene.known.loads.set_others(&[load(&home, 3, 14_000)]);
     let kept = scene.choose("/recap/", &prompt, &[]).expect("a choice");
     assert_eq!(kept, home, "half of 3,800 tokens read again are worse than 14,000 tokens ahead");
-    scene.known.balance.set_others(&[load(&home, 3, 16_000)]);
+    scene.known.loads.set_others(&[load(&home, 3, 16_000)]);
     let second = scene.choose("/recap/", &prompt, &[]).expect("a choice");
     assert_ne!(second, home, "its second engine may keep some of it and has nothing to read");
     for _ in 0..20 {
         assert_eq!(scene.choose("/recap/", &prompt, &[]).as_deref(), Some(second.as_str()));
     }
-    scene.known.balance.set_others(&[load(&home, 9, 60_000), load(&second, 9, 60_000)]);
+    scene.known.loads.set_others(&[load(&home, 9, 60_000), load(&second, 9, 60_000)]);
     let third = scene.choose("/recap/", &prompt, &[]).expect("a choice");
     assert!(third != home && third != second);
 }
@@ -419,9 +419,9 @@
         loads.push(load(&home, 1, unread));
         loads
     };
-    scene.known.balance.set_others(&with_home(20_000));
+    scene.known.loads.set_others(&with_home(20_000));
     assert_eq!(scene.choose("/recap/", &prompt, &[]).as_deref(), Some(home.as_str()));
-    scene.known.balance.set_others(&with_home(23_000));
+    scene.known.loads.set_others(&with_home(23_000));
     assert_ne!(scene.choose("/recap/", &prompt, &[]).as_deref(), Some(home.as_str()));
 }
 
@@ -433,7 +433,7 @@
     for (number, engine) in scene.engines.iter_mut().enumerate() {
         engine.hall = if number % 3 == 0 { "a".into() } else { "b".into() };
     }
-    let lane = lanes::divide(&LanePolicy::default(), scene.engines.iter().collect(), "svc", &scene.known.balance).quick;
+    let lane = lanes::divide(&LanePolicy::default(), scene.engines.iter().collect(), "svc", &scene.known.loads).quick;
     let near: Vec<String> =
         lane.iter().filter(|held| &*held.hall == "a").map(|held| held.endpoint.to_string()).collect();
     assert!(!near.is_empty() && near.len() < lane.len(), "the lane has engines in both halls: {near:?}");
@@ -445,7 +445,7 @@
         assert!(near.contains(&chosen), "{chosen}");
     }
     let busy: Vec<Load> = near.iter().map(|endpoint| load(endpoint, 30, 1000)).collect();
-    scene.known.balance.set_others(&busy);
+    scene.known.loads.set_others(&busy);
     let far = (0..50).filter(|session| {
         let chosen = scene.choose("/grade/", &prompt(session + 2), &[]).expect("a choice");
         !near.contains(&chosen)
@@ -490,7 +490,7 @@
         let chosen = scene.choose("/grade/", &prompt, &[]).expect("a choice");
         *calls.entry(chosen).or_default() += 1;
         let loads: Vec<Load> = calls.iter().map(|(endpoint, calls)| load(endpoint, *calls, 0)).collect();
-        scene.known.balance.set_others(&loads);
+        scene.known.loads.set_others(&loads);
     }
     assert!(calls.len() >= 6, "{calls:?}");
     let most = calls.values().max().copied().unwrap_or_default();
--- a/crates/rudder-gateway/tests/support/mod.rs
+++ b/crates/rudder-gateway/tests/support/mod.rs
@@ -6,8 +6,8 @@
 use rudder_clock::Moment;
 use rudder_core::{Phase, Registration};
 use rudder_gateway::{
-    Plan, Policy, backoff::Backoff, balance::Balance, choose::Inputs, health::Health, limits::Limits, places::Places,
-    prefill::PrefillSpeeds, ramp::Ramp, roster::Roster,
+    Plan, Policy, backoff::Backoff, choose::Inputs, health::Health, limits::Limits, loads::EndpointLoads,
+    places::Places, prefill::PrefillSpeeds, ramp::Ramp, roster::Roster,
 };
 use rudder_model::HallId;
 
@@ -35,7 +35,7 @@
 
 /// All that an instance knows when it chooses; nothing of endpoints where nothing is set.
 pub struct Known {
-    pub balance: Balance,
+    pub loads: EndpointLoads,
     pub work_age: Duration,
     pub health: Health,
     pub backoff: Backoff,
@@ -53,7 +53,7 @@
     fn default() -> Self {
         let now = Moment::now();
         Known {
-            balance: Balance::default(),
+            loads: EndpointLoads::default(),
             work_age: Duration::ZERO,
             health: Health::default(),
             backoff: Backoff::default(),
@@ -73,7 +73,7 @@
     /// What a choice rests on.
     pub fn inputs(&self) -> Inputs<'_> {
         Inputs {
-            balance: &self.balance,
+            loads: &self.loads,
             work_age: self.work_age,
             health: &self.health,
             backoff: &self.backoff,
