--- a/crates/rudder-gateway/src/call/attempt.rs
+++ b/crates/rudder-gateway/src/call/attempt.rs
@@ -312,7 +312,7 @@
     let loads = shared.loads.borrow();
     let (health, backoff) = (shared.health.borrow(), shared.backoff.borrow());
     let prefill = shared.prefill.borrow();
-    let (places, ramp, limits) = (shared.places.borrow(), shared.ramp.borrow(), shared.limits.borrow());
+    let (places, slow_start, limits) = (shared.places.borrow(), shared.slow_start.borrow(), shared.limits.borrow());
     let inputs = Inputs {
         loads: &loads,
         work_age: shared.work_age(),
@@ -320,7 +320,7 @@
         backoff: &backoff,
         prefill: &prefill,
         places: &places,
-        ramp: &ramp,
+        slow_start: &slow_start,
         limits: &limits,
         hall: &shared.options.hall,
         plan: &plan,
--- a/crates/rudder-gateway/src/choose/candidates.rs
+++ b/crates/rudder-gateway/src/choose/candidates.rs
@@ -12,8 +12,8 @@
 use super::Inputs;
 use crate::{
     lanes::{self, Lanes},
-    ramp::Use,
     roster::Roster,
+    slow_start::Allowance,
 };
 
 /// Candidates are recomputed after this long at the latest: the work of this instance, by which the lanes are divided,
@@ -37,7 +37,7 @@
 impl Lane {
     fn new(endpoints: Vec<Arc<Registration>>, inputs: &Inputs) -> Lane {
         let near = endpoints.iter().filter(|held| held.hall == *inputs.hall).cloned().collect();
-        let warming = endpoints.iter().filter(|held| inputs.use_of(held) != Use::Free).cloned().collect();
+        let warming = endpoints.iter().filter(|held| inputs.allowance(held) != Allowance::Unlimited).cloned().collect();
         let keys = endpoints.iter().map(|held| id::node_key(&held.endpoint)).collect();
         Lane { endpoints, near, warming, keys }
     }
@@ -85,7 +85,7 @@
         // What may not be used from here at all is in no lane.
         let is_usable = |held: &&Arc<Registration>| {
             inputs.places.is_open(&held.hall)
-                && inputs.use_of(held) != Use::Barred
+                && inputs.allowance(held) != Allowance::Barred
                 && !inputs.backoff.is_blocked(&held.endpoint, inputs.now)
                 && inputs.limits.retry_at(&held.endpoint, inputs.now).is_none()
         };
--- a/crates/rudder-gateway/src/choose/mod.rs
+++ b/crates/rudder-gateway/src/choose/mod.rs
@@ -25,7 +25,7 @@
     places::Places,
     plan::Route,
     prefill::PrefillSpeeds,
-    ramp::{Ramp, Use},
+    slow_start::{Allowance, SlowStartState},
 };
 
 /// What a choice rests on.
@@ -44,7 +44,7 @@
     /// Where requests may go.
     pub places: &'a Places,
     /// Endpoints that are warming up.
-    pub ramp: &'a Ramp,
+    pub slow_start: &'a SlowStartState,
     /// Rate limits of endpoints.
     pub limits: &'a Limits,
     /// This instance's hall.
@@ -59,9 +59,9 @@
 
 impl Inputs<'_> {
     /// How an endpoint may be used from here while it warms up.
-    pub fn use_of(&self, held: &Registration) -> Use {
+    pub fn allowance(&self, held: &Registration) -> Allowance {
         let warm_up = self.plan.services.get(&held.service).and_then(|service| service.warm_up);
-        self.ramp.use_of(held, warm_up, &self.policy.slow_start, self.now)
+        self.slow_start.allowance(held, warm_up, &self.policy.slow_start, self.now)
     }
 }
 
@@ -82,7 +82,7 @@
         !self.tried.contains(&held.endpoint)
             && inputs.places.allows(self.residency, &held.hall)
             && !(self.unlimited && inputs.limits.rate(&held.endpoint).is_some())
-            && inputs.ramp.has_room(&held.endpoint, inputs.use_of(held), inputs.now)
+            && inputs.slow_start.has_room(&held.endpoint, inputs.allowance(held), inputs.now)
     }
 }
 
--- a/crates/rudder-gateway/src/run.rs
+++ b/crates/rudder-gateway/src/run.rs
@@ -166,7 +166,7 @@
             shared.log.write(What::Woke { after: span });
         }
         shared.pool.borrow_mut().age(Moment::now());
-        shared.ramp.borrow_mut().age(Moment::now());
+        shared.slow_start.borrow_mut().age(Moment::now());
         let roster = shared.roster.borrow().clone();
         shared.backoff.borrow_mut().age(Moment::now(), |endpoint| roster.knows(endpoint));
         shared.tell_begun();
--- a/crates/rudder-gateway/src/shared.rs
+++ b/crates/rudder-gateway/src/shared.rs
@@ -34,9 +34,9 @@
     metrics::{Metrics, Standing},
     places::Places,
     prefill::PrefillSpeeds,
-    ramp::Ramp,
     recent::{self, Tally},
     roster::Roster,
+    slow_start::SlowStartState,
     upstream::Pool,
 };
 
@@ -156,7 +156,7 @@
     /// Where requests may go.
     pub places: RefCell<Places>,
     /// Endpoints that are warming up.
-    pub ramp: RefCell<Ramp>,
+    pub slow_start: RefCell<SlowStartState>,
     /// Bytes held for callers and endpoints.
     pub holdings: Arc<Holdings>,
     /// Requests sent again.
@@ -195,7 +195,7 @@
             name: options.name(),
             holdings: Holdings::new(options.memory),
             places: RefCell::new(Places::new(options.regions.clone())),
-            ramp: RefCell::new(Ramp::new(options.name(), started)),
+            slow_start: RefCell::new(SlowStartState::new(options.name(), started)),
             options,
             started,
             inputs,
@@ -306,7 +306,7 @@
         self.take_document(published.document.as_ref());
         self.take_quarantine(&published.quarantine);
         self.take_evacuations(&published.evacuations);
-        self.ramp.borrow_mut().set_senders(published.senders().collect(), Moment::now());
+        self.slow_start.borrow_mut().set_senders(published.senders().collect(), Moment::now());
         let roster = Rc::new(Roster::new(published.endpoints.iter().cloned()));
         self.loads.borrow_mut().retain(|endpoint| roster.knows(endpoint));
         self.health.borrow_mut().retain(|endpoint| roster.knows(endpoint));
@@ -351,7 +351,7 @@
     fn take_evacuations(&self, evacuations: &Arc<Evacuations>) {
         let returned = self.places.borrow_mut().set_evacuations(evacuations.clone());
         for hall in returned {
-            self.ramp.borrow_mut().note_return(&hall, Moment::now());
+            self.slow_start.borrow_mut().record_hall_return(&hall, Moment::now());
         }
         self.metrics.set_evacuated(self.places.borrow().evacuated());
     }
@@ -387,9 +387,9 @@
         let roster = self.roster.borrow();
         let Some(held) = roster.get(&choice.endpoint) else { return true };
         let warm_up = self.current_plan().and_then(|plan| plan.services.get(&held.service)?.warm_up);
-        let mut ramp = self.ramp.borrow_mut();
-        let allowed = ramp.use_of(held, warm_up, &self.options.policy.slow_start, now);
-        ramp.try_take(&held.endpoint, allowed, now)
+        let mut slow_start = self.slow_start.borrow_mut();
+        let allowed = slow_start.allowance(held, warm_up, &self.options.policy.slow_start, now);
+        slow_start.try_take(&held.endpoint, allowed, now)
     }
 
     /// How long this instance may send to none of the endpoints that serve `route`, as they want nothing or their rate limits
--- a/crates/rudder-gateway/src/ramp.rs
+++ b/crates/rudder-gateway/src/slow_start.rs
@@ -20,9 +20,9 @@
 
 /// How an endpoint may be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Use {
+pub enum Allowance {
     /// Without a bound.
-    Free,
+    Unlimited,
     /// Within this instance's share of what it bears.
     Within(Share),
     /// Not from here, while it is cold.
@@ -31,7 +31,7 @@
 
 /// What this instance knows of cold endpoints.
 #[derive(Debug)]
-pub struct Ramp {
+pub struct SlowStartState {
     me: InstanceId,
     started: Moment,
     settled: Option<Moment>,
@@ -42,10 +42,17 @@
     sent: HashMap<EndpointId, SendHistory>,
 }
 
-impl Ramp {
+impl SlowStartState {
     /// Nothing is known yet to the instance `me`.
-    pub fn new(me: InstanceId, started: Moment) -> Ramp {
-        Ramp { me, started, settled: None, senders: Vec::new(), returned: HashMap::new(), sent: HashMap::new() }
+    pub fn new(me: InstanceId, started: Moment) -> SlowStartState {
+        SlowStartState {
+            me,
+            started,
+            settled: None,
+            senders: Vec::new(),
+            returned: HashMap::new(),
+            sent: HashMap::new(),
+        }
     }
 
     /// Records the live instances that send to endpoints.
@@ -57,18 +64,26 @@
     }
 
     /// Records that the evacuation of `hall` has ended.
-    pub fn note_return(&mut self, hall: &HallId, now: Moment) {
+    pub fn record_hall_return(&mut self, hall: &HallId, now: Moment) {
         self.returned.insert(hall.clone(), now);
     }
 
     /// How an endpoint of a service that warms up as `warm_up` says may be used.
-    pub fn use_of(&self, held: &Registration, warm_up: Option<WarmUp>, policy: &SlowStart, now: Moment) -> Use {
-        let Some(warm_up) = warm_up.filter(|warm_up| self.is_cold(held, *warm_up, now)) else { return Use::Free };
+    pub fn allowance(
+        &self,
+        held: &Registration,
+        warm_up: Option<WarmUp>,
+        policy: &SlowStart,
+        now: Moment,
+    ) -> Allowance {
+        let Some(warm_up) = warm_up.filter(|warm_up| self.is_cold(held, *warm_up, now)) else {
+            return Allowance::Unlimited;
+        };
         if self.settled.is_none_or(|settled| now < settled) {
-            return Use::Barred;
+            return Allowance::Barred;
         }
         let senders = self.senders.iter().map(|name| &**name);
-        policy.share(&held.endpoint, warm_up.rate, &self.me, senders).map_or(Use::Barred, Use::Within)
+        policy.share(&held.endpoint, warm_up.rate, &self.me, senders).map_or(Allowance::Barred, Allowance::Within)
     }
 
     fn is_cold(&self, held: &Registration, warm_up: WarmUp, now: Moment) -> bool {
@@ -76,21 +91,21 @@
     }
 
     /// True where this instance may send one more request to `endpoint` now.
-    pub fn has_room(&self, endpoint: &EndpointId, allowed: Use, now: Moment) -> bool {
+    pub fn has_room(&self, endpoint: &EndpointId, allowed: Allowance, now: Moment) -> bool {
         let at = self.time_of(now);
         match allowed {
-            Use::Free => true,
-            Use::Within(share) => self.sent.get(endpoint).is_none_or(|sent| sent.has_room(at, share)),
-            Use::Barred => false,
+            Allowance::Unlimited => true,
+            Allowance::Within(share) => self.sent.get(endpoint).is_none_or(|sent| sent.has_room(at, share)),
+            Allowance::Barred => false,
         }
     }
 
     /// Takes the right to send one more request to `endpoint` now.
-    pub fn try_take(&mut self, endpoint: &EndpointId, allowed: Use, now: Moment) -> bool {
+    pub fn try_take(&mut self, endpoint: &EndpointId, allowed: Allowance, now: Moment) -> bool {
         if !self.has_room(endpoint, allowed, now) {
             return false;
         }
-        if let Use::Within(share) = allowed {
+        if let Allowance::Within(share) = allowed {
             let at = self.time_of(now);
             self.sent.entry(endpoint.clone()).or_default().note(at, share);
         }
--- a/crates/rudder-gateway/tests/places.rs
+++ b/crates/rudder-gateway/tests/places.rs
@@ -12,7 +12,7 @@
     dialect::{Prompt, PromptPart},
     places::{Places, residency_of},
     plan::{Engine, Limits, Organisation, Share, WarmUp},
-    ramp::{Ramp, Use},
+    slow_start::{Allowance, SlowStartState},
 };
 use rudder_ledger::{Evacuation, Evacuations};
 use rudder_model::{HallId, RegionId, id};
@@ -82,7 +82,7 @@
 impl Scene {
     fn new(engine: bool) -> Scene {
         let mut known = Known { places: places(), plan: to_plan(engine), ..Known::default() };
-        known.ramp.set_senders(vec!["me".into()], known.now);
+        known.slow_start.set_senders(vec!["me".into()], known.now);
         known.now = known.now + SECOND * 10;
         Scene { endpoints: endpoints(), known }
     }
@@ -161,8 +161,8 @@
         let mut taken = 0;
         for _ in 0..50 {
             let Some(choice) = scene.choose(&[]) else { break };
-            let allowed = scene.known.ramp.use_of(&scene.endpoints[0], Some(WarmUp { span: SPAN, rate: RATE }), &scene.known.policy.slow_start, scene.known.now);
-            assert!(scene.known.ramp.try_take(&choice.endpoint, allowed, scene.known.now));
+            let allowed = scene.known.slow_start.allowance(&scene.endpoints[0], Some(WarmUp { span: SPAN, rate: RATE }), &scene.known.policy.slow_start, scene.known.now);
+            assert!(scene.known.slow_start.try_take(&choice.endpoint, allowed, scene.known.now));
             taken += 1;
         }
         assert_eq!(taken, 11);
@@ -171,11 +171,11 @@
     };
     the_endpoints_of_a_hall_that_comes_back_are_cold: |mut scene| {
         scene.endpoints.truncate(1);
-        scene.known.ramp.note_return(&"a".into(), scene.known.now);
+        scene.known.slow_start.record_hall_return(&"a".into(), scene.known.now);
         let warm_up = Some(WarmUp { span: SPAN, rate: RATE });
-        let use_at = |scene: &Scene, at: Moment| scene.known.ramp.use_of(&scene.endpoints[0], warm_up, &scene.known.policy.slow_start, at);
-        assert!(matches!(use_at(&scene, scene.known.now + SPAN - SECOND / 10), Use::Within(_)));
-        assert_eq!(use_at(&scene, scene.known.now + SPAN), Use::Free);
+        let allowance_at = |scene: &Scene, at: Moment| scene.known.slow_start.allowance(&scene.endpoints[0], warm_up, &scene.known.policy.slow_start, at);
+        assert!(matches!(allowance_at(&scene, scene.known.now + SPAN - SECOND / 10), Allowance::Within(_)));
+        assert_eq!(allowance_at(&scene, scene.known.now + SPAN), Allowance::Unlimited);
     };
 }
 
@@ -218,14 +218,14 @@
 #[test]
 fn one_that_has_just_started_sends_nothing_to_cold_endpoints() {
     let now = Moment::now();
-    let mut ramp = Ramp::new("me".into(), now);
-    ramp.set_senders(vec!["me".into()], now);
+    let mut slow_start = SlowStartState::new("me".into(), now);
+    slow_start.set_senders(vec!["me".into()], now);
     let cold = Registration { warming: true, ..endpoints().remove(0) };
     let warm_up = Some(WarmUp { span: SPAN, rate: RATE });
     let policy = Policy::default().slow_start;
-    assert_eq!(ramp.use_of(&cold, warm_up, &policy, now + SECOND), Use::Barred);
-    assert!(matches!(ramp.use_of(&cold, warm_up, &policy, now + SECOND * 2), Use::Within(_)));
-    assert_eq!(ramp.use_of(&cold, None, &policy, now), Use::Free, "its service names no bound");
+    assert_eq!(slow_start.allowance(&cold, warm_up, &policy, now + SECOND), Allowance::Barred);
+    assert!(matches!(slow_start.allowance(&cold, warm_up, &policy, now + SECOND * 2), Allowance::Within(_)));
+    assert_eq!(slow_start.allowance(&cold, None, &policy, now), Allowance::Unlimited, "its service names no bound");
 }
 
 /// A hall's return is learned as the change of what was known; one that has just started knows nothing before.
--- a/crates/rudder-gateway/tests/support/mod.rs
+++ b/crates/rudder-gateway/tests/support/mod.rs
@@ -7,7 +7,7 @@
 use rudder_core::{Phase, Registration};
 use rudder_gateway::{
     Plan, Policy, backoff::Backoff, choose::Inputs, health::Health, limits::Limits, loads::EndpointLoads,
-    places::Places, prefill::PrefillSpeeds, ramp::Ramp, roster::Roster,
+    places::Places, prefill::PrefillSpeeds, roster::Roster, slow_start::SlowStartState,
 };
 use rudder_model::HallId;
 
@@ -41,7 +41,7 @@
     pub backoff: Backoff,
     pub prefill: PrefillSpeeds,
     pub places: Places,
-    pub ramp: Ramp,
+    pub slow_start: SlowStartState,
     pub limits: Limits,
     pub hall: HallId,
     pub plan: Plan,
@@ -59,7 +59,7 @@
             backoff: Backoff::default(),
             prefill: PrefillSpeeds::default(),
             places: Places::default(),
-            ramp: Ramp::new("me".into(), now),
+            slow_start: SlowStartState::new("me".into(), now),
             limits: Limits::default(),
             hall: "a".into(),
             plan: Plan::default(),
@@ -79,7 +79,7 @@
             backoff: &self.backoff,
             prefill: &self.prefill,
             places: &self.places,
-            ramp: &self.ramp,
+            slow_start: &self.slow_start,
             limits: &self.limits,
             hall: &self.hall,
             plan: &self.plan,
