--- a/crates/rudder-gateway/src/holdings.rs
+++ b/crates/rudder-gateway/src/buffers.rs
@@ -32,11 +32,11 @@
 const LOOKS_MOST: u32 = 40;
 
 /// Ends a caller's connection.
-pub type Cut = Arc<Notify>;
+pub type Disconnect = Arc<Notify>;
 
 /// What is held, and how much may be.
 #[derive(Debug)]
-pub struct Holdings {
+pub struct BufferQuota {
     most: usize,
     held: AtomicUsize,
     peak: AtomicUsize,
@@ -50,13 +50,13 @@
 #[derive(Debug)]
 struct Answer {
     since: Moment,
-    cut: Cut,
+    cut: Disconnect,
 }
 
-impl Holdings {
-    /// The holdings of a process that may take `memory` bytes.
-    pub fn new(memory: Option<usize>) -> Arc<Holdings> {
-        Arc::new(Holdings {
+impl BufferQuota {
+    /// The buffers of a process that may take `memory` bytes.
+    pub fn new(memory: Option<usize>) -> Arc<BufferQuota> {
+        Arc::new(BufferQuota {
             most: memory.unwrap_or(USUAL_MEMORY) / PART,
             held: AtomicUsize::new(0),
             peak: AtomicUsize::new(0),
@@ -96,7 +96,7 @@
         self.freed.notify_waiters();
     }
 
-    fn note_unread(&self, cut: Cut) -> u64 {
+    fn note_unread(&self, cut: Disconnect) -> u64 {
         let number = self.count.fetch_add(1, Ordering::Relaxed);
         let answer = Answer { since: Moment::now(), cut };
         self.unread.lock().unwrap_or_else(PoisonError::into_inner).insert(number, answer);
@@ -119,20 +119,20 @@
 
 /// The right to hold some bytes; they are free again when it is dropped.
 #[derive(Debug)]
-pub struct Hold {
-    holdings: Arc<Holdings>,
+pub struct Reservation {
+    buffers: Arc<BufferQuota>,
     bytes: usize,
 }
 
-impl Hold {
+impl Reservation {
     /// The right to hold nothing yet.
-    pub fn new(holdings: &Arc<Holdings>) -> Hold {
-        Hold { holdings: holdings.clone(), bytes: 0 }
+    pub fn new(buffers: &Arc<BufferQuota>) -> Reservation {
+        Reservation { buffers: buffers.clone(), bytes: 0 }
     }
 
     /// Adds `bytes` to it, where they fit.
     pub fn try_grow(&mut self, bytes: usize) -> bool {
-        let fits = self.holdings.try_add(bytes);
+        let fits = self.buffers.try_add(bytes);
         if fits {
             self.bytes += bytes;
         }
@@ -143,40 +143,40 @@
     ///
     /// # Errors
     /// When they do not for so long that what is held will hardly be taken.
-    pub async fn grow(&mut self, bytes: usize) -> Result<(), Unread> {
+    pub async fn grow(&mut self, bytes: usize) -> Result<(), BodyError> {
         for _ in 0..LOOKS_MOST {
-            let holdings = self.holdings.clone();
-            let mut freed = std::pin::pin!(holdings.freed.notified());
+            let buffers = self.buffers.clone();
+            let mut freed = std::pin::pin!(buffers.freed.notified());
             // What is freed between the look and the wait must not be missed.
             freed.as_mut().enable();
             if self.try_grow(bytes) {
                 return Ok(());
             }
             if timeout(LOOK, freed).await.is_err() {
-                holdings.cut_oldest();
+                buffers.cut_oldest();
             }
         }
-        Err(Unread::Full)
+        Err(BodyError::Full)
     }
 
     /// The bytes that it was taken for; they are counted as long as any part of them is kept. Where they are an answer, `cut`
     /// ends its caller's connection.
-    pub fn keep(self, data: Vec<u8>, cut: Option<Cut>) -> Bytes {
-        let unread = cut.map(|cut| self.holdings.note_unread(cut));
+    pub fn keep(self, data: Vec<u8>, cut: Option<Disconnect>) -> Bytes {
+        let unread = cut.map(|cut| self.buffers.note_unread(cut));
         Bytes::from_owner(Kept { data, unread, hold: self })
     }
 }
 
-impl Drop for Hold {
+impl Drop for Reservation {
     fn drop(&mut self) {
-        self.holdings.remove(self.bytes);
+        self.buffers.remove(self.bytes);
     }
 }
 
 struct Kept {
     data: Vec<u8>,
     unread: Option<u64>,
-    hold: Hold,
+    hold: Reservation,
 }
 
 impl AsRef<[u8]> for Kept {
@@ -188,14 +188,14 @@
 impl Drop for Kept {
     fn drop(&mut self) {
         if let Some(number) = self.unread {
-            self.hold.holdings.note_taken(number);
+            self.hold.buffers.note_taken(number);
         }
     }
 }
 
 /// Why a body could not be read whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Unread {
+pub enum BodyError {
     /// It is longer than may be.
     TooLarge,
     /// It broke off.
@@ -206,11 +206,11 @@
 
 /// Whose body is read.
 #[derive(Clone, Debug)]
-pub enum Reads {
+pub enum BodyKind {
     /// A caller's request: where it does not fit, it is read no further.
     Request,
     /// An answer for a caller: it is read once it fits. The caller's connection is ended by this.
-    Answer(Cut),
+    Answer(Disconnect),
 }
 
 /// Reads a body of `limit` bytes at most.
@@ -218,37 +218,37 @@
 /// # Errors
 /// When it is longer, breaks off, or does not fit.
 pub async fn read_whole(
-    holdings: &Arc<Holdings>,
+    buffers: &Arc<BufferQuota>,
     mut body: Incoming,
     limit: usize,
-    reads: Reads,
-) -> Result<Bytes, Unread> {
-    let mut hold = Hold::new(holdings);
+    kind: BodyKind,
+) -> Result<Bytes, BodyError> {
+    let mut hold = Reservation::new(buffers);
     // Room for all of it is taken before it is read: of many that were read by halves none could be taken by its reader.
     let length = body.size_hint().exact().map_or(0, |length| length as usize);
     if length > limit {
-        return Err(Unread::TooLarge);
+        return Err(BodyError::TooLarge);
     }
-    let cut = match reads {
-        Reads::Request if !hold.try_grow(length) => return Err(Unread::Full),
-        Reads::Request => None,
-        Reads::Answer(cut) => {
+    let cut = match kind {
+        BodyKind::Request if !hold.try_grow(length) => return Err(BodyError::Full),
+        BodyKind::Request => None,
+        BodyKind::Answer(cut) => {
             hold.grow(length).await?;
             Some(cut)
         }
     };
     let mut data = Vec::with_capacity(length);
     while let Some(frame) = body.frame().await {
-        let Ok(part) = frame.map_err(|_| Unread::Broken)?.into_data() else { continue };
+        let Ok(part) = frame.map_err(|_| BodyError::Broken)?.into_data() else { continue };
         let after = data.len() + part.len();
         if after > limit {
-            return Err(Unread::TooLarge);
+            return Err(BodyError::TooLarge);
         }
         let lacking = after.saturating_sub(hold.bytes);
         match cut {
             Some(_) => hold.grow(lacking).await?,
             None if hold.try_grow(lacking) => {}
-            None => return Err(Unread::Full),
+            None => return Err(BodyError::Full),
         }
         data.extend_from_slice(&part);
     }
--- a/crates/rudder-gateway/src/call/admit.rs
+++ b/crates/rudder-gateway/src/call/admit.rs
@@ -16,8 +16,8 @@
 };
 use crate::{
     Dialect, Plan, Route,
+    buffers::{BodyError, BodyKind, Disconnect, read_whole},
     dialect::CallHead,
-    holdings::{Cut, Reads, Unread, read_whole},
     places::residency_of,
     shared::Shared,
 };
@@ -97,7 +97,7 @@
         last_event: head.last_event,
         key: head.key,
         host,
-        cut: parts.extensions.remove::<Cut>().unwrap_or_default(),
+        cut: parts.extensions.remove::<Disconnect>().unwrap_or_default(),
         method: parts.method,
         uri: parts.uri,
         headers,
@@ -117,11 +117,11 @@
     limit: usize,
     until: Moment,
 ) -> Result<Bytes, Refusal> {
-    match timeout_at(until, read_whole(&shared.holdings, body, limit, Reads::Request)).await {
+    match timeout_at(until, read_whole(&shared.buffers, body, limit, BodyKind::Request)).await {
         Ok(Ok(body)) => Ok(body),
-        Ok(Err(Unread::TooLarge)) => Err(denied(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large")),
-        Ok(Err(Unread::Broken)) => Err(denied(StatusCode::BAD_REQUEST, "the body cannot be read")),
-        Ok(Err(Unread::Full)) => Err(not_run("too much is held for others", shared.options.come_back)),
+        Ok(Err(BodyError::TooLarge)) => Err(denied(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large")),
+        Ok(Err(BodyError::Broken)) => Err(denied(StatusCode::BAD_REQUEST, "the body cannot be read")),
+        Ok(Err(BodyError::Full)) => Err(not_run("too much is held for others", shared.options.come_back)),
         Err(_) => Err(denied(StatusCode::REQUEST_TIMEOUT, "the body did not come in time")),
     }
 }
--- a/crates/rudder-gateway/src/call/mod.rs
+++ b/crates/rudder-gateway/src/call/mod.rs
@@ -44,9 +44,9 @@
 use crate::{
     Dialect, Route, RouteKind,
     body::AnswerBody,
+    buffers::Disconnect,
     choose::Choice,
     dialect::{AnswerHead, CallHead, Forward, Prompt},
-    holdings::Cut,
     loads::InFlight,
     metrics::Ending,
     places::Residency,
@@ -91,7 +91,7 @@
     /// Last event that the caller had when it asked.
     pub last_event: Option<u64>,
     /// Ends its caller's connection.
-    pub cut: Cut,
+    pub cut: Disconnect,
     key: Option<String>,
     host: String,
     method: Method,
--- a/crates/rudder-gateway/src/call/send.rs
+++ b/crates/rudder-gateway/src/call/send.rs
@@ -16,8 +16,8 @@
 use crate::{
     Dialect, RouteKind,
     body::AnswerBody,
+    buffers::{BodyKind, read_whole},
     health::Outcome,
-    holdings::{Reads, read_whole},
     metrics::Ending,
     shared::Shared,
     stream,
@@ -100,7 +100,7 @@
     let (mut parts, body) = response.into_parts();
     let whole = async {
         tokio::select! {
-            read = read_whole(&shared.holdings, body, WHOLE, Reads::Answer(call.cut.clone())) => read.ok(),
+            read = read_whole(&shared.buffers, body, WHOLE, BodyKind::Answer(call.cut.clone())) => read.ok(),
             () = shared.wait_replaced(&choice.endpoint) => None,
         }
     };
--- a/crates/rudder-gateway/src/lib.rs
+++ b/crates/rudder-gateway/src/lib.rs
@@ -11,6 +11,7 @@
 pub mod backoff;
 pub mod body;
 pub mod budget;
+pub mod buffers;
 pub mod call;
 pub mod choose;
 pub mod contents;
@@ -19,7 +20,6 @@
 pub mod duty;
 pub mod head_clock;
 pub mod health;
-pub mod holdings;
 pub mod lanes;
 pub mod limits;
 pub mod loads;
--- a/crates/rudder-gateway/src/metrics.rs
+++ b/crates/rudder-gateway/src/metrics.rs
@@ -453,9 +453,9 @@
         let view = shared.view.borrow();
         state.instances.set(number(view.entries.len() as u64));
         state.memory.set(resident().unwrap_or_default());
-        state.held.set(number(shared.holdings.held() as u64));
-        state.held_peak.set(number(shared.holdings.peak() as u64));
-        state.held_most.set(number(shared.holdings.most() as u64));
+        state.held.set(number(shared.buffers.held() as u64));
+        state.held_peak.set(number(shared.buffers.peak() as u64));
+        state.held_most.set(number(shared.buffers.most() as u64));
         let (budget, blocked) = shared.log.dropped();
         state.dropped.set(number(budget + blocked));
         state.calls.clear();
--- a/crates/rudder-gateway/src/serve.rs
+++ b/crates/rudder-gateway/src/serve.rs
@@ -12,9 +12,9 @@
 use crate::{
     Dialect,
     body::AnswerBody,
+    buffers::Disconnect,
     call,
     head_clock::{Clocked, HeadClock},
-    holdings::Cut,
     operate,
     plan::Limits,
     shared::{Shared, Stage},
@@ -71,7 +71,7 @@
     }
     let limits = shared.current_plan().map_or_else(Limits::default, |plan| plan.limits);
     let clock = Rc::new(HeadClock::default());
-    let cut = Cut::default();
+    let cut = Disconnect::default();
     let service = service_fn(|mut request: Request<Incoming>| {
         clock.note_head();
         request.extensions_mut().insert(cut.clone());
--- a/crates/rudder-gateway/src/shared.rs
+++ b/crates/rudder-gateway/src/shared.rs
@@ -22,12 +22,12 @@
     Dialect, Options, Plan, Route,
     backoff::Backoff,
     budget::Budget,
+    buffers::BufferQuota,
     call::to_hex,
     choose::{CandidateCache, Choice},
     contents::{Contents, REFUSED_FOR},
     dialect::EntriesQuery,
     health::Health,
-    holdings::Holdings,
     limits::{Limits, Permit},
     loads::EndpointLoads,
     logging::Log,
@@ -158,7 +158,7 @@
     /// Endpoints that are warming up.
     pub slow_start: RefCell<SlowStartState>,
     /// Bytes held for callers and endpoints.
-    pub holdings: Arc<Holdings>,
+    pub buffers: Arc<BufferQuota>,
     /// Requests sent again.
     pub budget: RefCell<Budget>,
     /// Idle connections to endpoints.
@@ -193,7 +193,7 @@
         Shared {
             dialect,
             name: options.name(),
-            holdings: Holdings::new(options.memory),
+            buffers: BufferQuota::new(options.memory),
             places: RefCell::new(Places::new(options.regions.clone())),
             slow_start: RefCell::new(SlowStartState::new(options.name(), started)),
             options,
--- a/crates/rudder-gateway/src/stream.rs
+++ b/crates/rudder-gateway/src/stream.rs
@@ -18,10 +18,10 @@
 use crate::{
     Dialect,
     body::{AnswerBody, Broken},
+    buffers::Reservation,
     call::{self, Call, Leg, Progress, Resume},
     choose::Choice,
     health::Outcome,
-    holdings::Hold,
     metrics::{Ending, PauseMeter},
     shared::Shared,
 };
@@ -245,7 +245,7 @@
 
     /// Hands a part on to the caller. While too much is held for others, the endpoint is read no further.
     async fn hand_on(&mut self, part: &[u8]) -> Result<(), End> {
-        let mut hold = Hold::new(&self.shared.holdings);
+        let mut hold = Reservation::new(&self.shared.buffers);
         let fits = tokio::select! {
             fits = timeout_at(self.call.until, hold.grow(part.len())) => fits,
             () = self.sender.closed() => return Err(End::Left),
