--- a/crates/rudder-gateway/src/call/admit.rs
+++ b/crates/rudder-gateway/src/call/admit.rs
@@ -18,7 +18,7 @@
     Dialect, Plan, Route,
     buffers::{BodyError, BodyKind, Disconnect, read_whole},
     dialect::CallHead,
-    places::residency_of,
+    placement::residency_of,
     shared::Shared,
 };
 
--- a/crates/rudder-gateway/src/call/attempt.rs
+++ b/crates/rudder-gateway/src/call/attempt.rs
@@ -312,14 +312,15 @@
     let loads = shared.loads.borrow();
     let (health, backoff) = (shared.health.borrow(), shared.backoff.borrow());
     let prefill = shared.prefill.borrow();
-    let (places, slow_start, limits) = (shared.places.borrow(), shared.slow_start.borrow(), shared.limits.borrow());
+    let (placement, slow_start, limits) =
+        (shared.placement.borrow(), shared.slow_start.borrow(), shared.limits.borrow());
     let inputs = Inputs {
         loads: &loads,
         work_age: shared.work_age(),
         health: &health,
         backoff: &backoff,
         prefill: &prefill,
-        places: &places,
+        placement: &placement,
         slow_start: &slow_start,
         limits: &limits,
         hall: &shared.options.hall,
--- a/crates/rudder-gateway/src/call/mod.rs
+++ b/crates/rudder-gateway/src/call/mod.rs
@@ -49,7 +49,7 @@
     dialect::{AnswerHead, CallHead, Forward, Prompt},
     loads::InFlight,
     metrics::Ending,
-    places::Residency,
+    placement::Residency,
     shared::{Shared, Stage},
     upstream::Connection,
 };
--- a/crates/rudder-gateway/src/call/permit.rs
+++ b/crates/rudder-gateway/src/call/permit.rs
@@ -11,7 +11,7 @@
     ended::{check_not_refused, is_risky},
     refusal::{not_run, stopped},
 };
-use crate::{Dialect, Route, RouteKind, choose::Choice, places::residency_of, shared::Shared};
+use crate::{Dialect, Route, RouteKind, choose::Choice, placement::residency_of, shared::Shared};
 
 /// Endpoints beyond the route's own bound that a request may go to when it did not run.
 const UNRUN_EXTRA: u32 = 1;
--- a/crates/rudder-gateway/src/choose/candidates.rs
+++ b/crates/rudder-gateway/src/choose/candidates.rs
@@ -84,7 +84,7 @@
         let is_well = |held: &Arc<Registration>| held.phase == Phase::Ready && !is_out(held);
         // What may not be used from here at all is in no lane.
         let is_usable = |held: &&Arc<Registration>| {
-            inputs.places.is_open(&held.hall)
+            inputs.placement.is_open(&held.hall)
                 && inputs.allowance(held) != Allowance::Barred
                 && !inputs.backoff.is_blocked(&held.endpoint, inputs.now)
                 && inputs.limits.retry_at(&held.endpoint, inputs.now).is_none()
--- a/crates/rudder-gateway/src/choose/mod.rs
+++ b/crates/rudder-gateway/src/choose/mod.rs
@@ -22,7 +22,7 @@
     health::Health,
     limits::Limits,
     loads::EndpointLoads,
-    places::Places,
+    placement::Placement,
     plan::Route,
     prefill::PrefillSpeeds,
     slow_start::{Allowance, SlowStartState},
@@ -42,7 +42,7 @@
     /// How fast engines read.
     pub prefill: &'a PrefillSpeeds,
     /// Where requests may go.
-    pub places: &'a Places,
+    pub placement: &'a Placement,
     /// Endpoints that are warming up.
     pub slow_start: &'a SlowStartState,
     /// Rate limits of endpoints.
@@ -80,7 +80,7 @@
     /// True where the request may go to `held` now.
     pub fn allows(&self, inputs: &Inputs, held: &Registration) -> bool {
         !self.tried.contains(&held.endpoint)
-            && inputs.places.allows(self.residency, &held.hall)
+            && inputs.placement.allows(self.residency, &held.hall)
             && !(self.unlimited && inputs.limits.rate(&held.endpoint).is_some())
             && inputs.slow_start.has_room(&held.endpoint, inputs.allowance(held), inputs.now)
     }
--- a/crates/rudder-gateway/src/lib.rs
+++ b/crates/rudder-gateway/src/lib.rs
@@ -28,7 +28,7 @@
 pub mod operate;
 pub mod options;
 pub mod peers;
-pub mod places;
+pub mod placement;
 pub mod plan;
 pub mod policy;
 pub mod prefill;
--- a/crates/rudder-gateway/src/operate.rs
+++ b/crates/rudder-gateway/src/operate.rs
@@ -123,7 +123,7 @@
 
 /// Evacuates a hall, or takes that back.
 async fn evacuate<D: Dialect>(shared: &Shared<D>, hall: HallId, begins: bool) -> Response<AnswerBody> {
-    if !shared.places.borrow().knows(&hall) {
+    if !shared.placement.borrow().knows(&hall) {
         return fault(StatusCode::NOT_FOUND, "there is no such hall");
     }
     let came = Moment::now();
--- a/crates/rudder-gateway/src/places.rs
+++ b/crates/rudder-gateway/src/placement.rs
@@ -12,15 +12,15 @@
 
 /// Halls, the regions that they lie in, and those that are evacuated.
 #[derive(Debug, Default)]
-pub struct Places {
+pub struct Placement {
     regions: BTreeMap<HallId, RegionId>,
     evacuations: Arc<Evacuations>,
 }
 
-impl Places {
+impl Placement {
     /// Halls that lie in these regions.
-    pub fn new(regions: BTreeMap<HallId, RegionId>) -> Places {
-        Places { regions, evacuations: Arc::default() }
+    pub fn new(regions: BTreeMap<HallId, RegionId>) -> Placement {
+        Placement { regions, evacuations: Arc::default() }
     }
 
     /// Sets which halls are evacuated. Returns those that were and are no more.
--- a/crates/rudder-gateway/src/plan.rs
+++ b/crates/rudder-gateway/src/plan.rs
@@ -4,7 +4,7 @@
 
 use rudder_route::scale::Bounds;
 
-use crate::places::Residency;
+use crate::placement::Residency;
 
 /// What may be repeated of a route's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/rudder-gateway/src/shared.rs
+++ b/crates/rudder-gateway/src/shared.rs
@@ -32,7 +32,7 @@
     loads::EndpointLoads,
     logging::Log,
     metrics::{Metrics, Standing},
-    places::Places,
+    placement::Placement,
     prefill::PrefillSpeeds,
     recent::{self, Tally},
     roster::Roster,
@@ -154,7 +154,7 @@
     /// How fast engines read.
     pub prefill: RefCell<PrefillSpeeds>,
     /// Where requests may go.
-    pub places: RefCell<Places>,
+    pub placement: RefCell<Placement>,
     /// Endpoints that are warming up.
     pub slow_start: RefCell<SlowStartState>,
     /// Bytes held for callers and endpoints.
@@ -194,7 +194,7 @@
             dialect,
             name: options.name(),
             buffers: BufferQuota::new(options.memory),
-            places: RefCell::new(Places::new(options.regions.clone())),
+            placement: RefCell::new(Placement::new(options.regions.clone())),
             slow_start: RefCell::new(SlowStartState::new(options.name(), started)),
             options,
             started,
@@ -349,11 +349,11 @@
 
     /// Records which halls are evacuated. The endpoints of one that is no more are cold, whatever they last said.
     fn take_evacuations(&self, evacuations: &Arc<Evacuations>) {
-        let returned = self.places.borrow_mut().set_evacuations(evacuations.clone());
+        let returned = self.placement.borrow_mut().set_evacuations(evacuations.clone());
         for hall in returned {
             self.slow_start.borrow_mut().record_hall_return(&hall, Moment::now());
         }
-        self.metrics.set_evacuated(self.places.borrow().evacuated());
+        self.metrics.set_evacuated(self.placement.borrow().evacuated());
     }
 
     /// Takes the right to send a request to the endpoint chosen: things may have changed since the choice.
@@ -379,7 +379,7 @@
         // One that is no longer known has ended; the attempt shows it.
         let Some(held) = roster.get(&choice.endpoint) else { return true };
         // The choice may be as old as the stream that goes on at the endpoint that keeps its copy.
-        held.phase <= Phase::Silent && self.places.borrow().is_open(&held.hall)
+        held.phase <= Phase::Silent && self.placement.borrow().is_open(&held.hall)
     }
 
     /// Takes a part of this instance's share of what the endpoint chosen bears while it warms up.
@@ -396,12 +396,12 @@
     /// are used up; `None` while it may send to one of them.
     pub fn blocked_for(&self, route: &Route) -> Option<Duration> {
         let now = Moment::now();
-        let (roster, backoff, places) = (self.roster.borrow(), self.backoff.borrow(), self.places.borrow());
+        let (roster, backoff, placement) = (self.roster.borrow(), self.backoff.borrow(), self.placement.borrow());
         let limits = self.limits.borrow();
         let endpoints = route.shares.iter().flat_map(|share| roster.of(&share.service));
         let mut soonest: Option<Moment> = None;
         for held in endpoints {
-            if held.phase > Phase::Silent || !places.is_open(&held.hall) || backoff.is_leaving(&held.endpoint) {
+            if held.phase > Phase::Silent || !placement.is_open(&held.hall) || backoff.is_leaving(&held.endpoint) {
                 continue;
             }
             let retry_at = backoff.retry_at(&held.endpoint, now);
@@ -466,7 +466,7 @@
     /// regions that all routes of its host are bound to; all where there are none of these.
     pub fn to_entries(&self, query: &EntriesQuery) -> Vec<Arc<str>> {
         let view = self.view.borrow();
-        let places = self.places.borrow();
+        let placement = self.placement.borrow();
         let live: Vec<&Listing> = view.entries.iter().filter(|listing| listing.takes_callers()).collect();
         let pick = |is_meant: &dyn Fn(&Listing) -> bool| -> Vec<&Listing> {
             live.iter().copied().filter(|listing| is_meant(listing)).collect()
@@ -475,16 +475,16 @@
         if near.len() >= NEAR_LEAST {
             return to_addresses(&near);
         }
-        let region = query.hall.as_deref().and_then(|hall| places.region_of(hall)).map(|region| &**region);
+        let region = query.hall.as_deref().and_then(|hall| placement.region_of(hall)).map(|region| &**region);
         let region = region.or(query.region.as_deref());
         let of_region =
-            pick(&|listing| region.is_some() && places.region_of(&listing.hall).map(|held| &**held) == region);
+            pick(&|listing| region.is_some() && placement.region_of(&listing.hall).map(|held| &**held) == region);
         if !of_region.is_empty() {
             return to_addresses(&of_region);
         }
         let plan = self.current_plan();
         let residency = plan.zip(query.host.as_deref()).and_then(|(plan, host)| plan.residency_of_host(host));
-        let resident = pick(&|listing| residency.is_some() && places.allows(residency.as_deref(), &listing.hall));
+        let resident = pick(&|listing| residency.is_some() && placement.allows(residency.as_deref(), &listing.hall));
         to_addresses([&resident, &near, &live].into_iter().find(|listings| !listings.is_empty()).unwrap_or(&live))
     }
 }
--- a/crates/rudder-gateway/tests/places.rs
+++ b/crates/rudder-gateway/tests/placement.rs
@@ -10,7 +10,7 @@
     Plan, Policy, Route, RouteKind, Service,
     choose::{self, Candidates, Choice, Eligibility},
     dialect::{Prompt, PromptPart},
-    places::{Places, residency_of},
+    placement::{Placement, residency_of},
     plan::{Engine, Limits, Organisation, Share, WarmUp},
     slow_start::{Allowance, SlowStartState},
 };
@@ -69,9 +69,9 @@
 }
 
 /// The halls a and b lie in the north, c in the south.
-fn places() -> Places {
+fn placement() -> Placement {
     let regions = [("a", "north"), ("b", "north"), ("c", "south")];
-    Places::new(regions.into_iter().map(|(hall, region)| (hall.into(), region.into())).collect())
+    Placement::new(regions.into_iter().map(|(hall, region)| (hall.into(), region.into())).collect())
 }
 
 struct Scene {
@@ -81,7 +81,7 @@
 
 impl Scene {
     fn new(engine: bool) -> Scene {
-        let mut known = Known { places: places(), plan: to_plan(engine), ..Known::default() };
+        let mut known = Known { placement: placement(), plan: to_plan(engine), ..Known::default() };
         known.slow_start.set_senders(vec!["me".into()], known.now);
         known.now = known.now + SECOND * 10;
         Scene { endpoints: endpoints(), known }
@@ -131,14 +131,14 @@
 
 both_kinds! {
     an_evacuated_hall_gets_nothing: |mut scene| {
-        scene.known.places.set_evacuations(evacuated("a"));
+        scene.known.placement.set_evacuations(evacuated("a"));
         let halls = scene.halls(&[]);
         assert!(!halls.contains_key("a") && !halls.is_empty(), "{halls:?}");
     };
     /// Not even where it is the last one: its endpoints are not a worse choice, but none.
     where_all_that_is_left_is_evacuated_nothing_is_chosen: |mut scene| {
         scene.endpoints.retain(|held| *held.hall == *"a");
-        scene.known.places.set_evacuations(evacuated("a"));
+        scene.known.placement.set_evacuations(evacuated("a"));
         assert_eq!(scene.choose(&[]), None);
     };
     what_has_homes_stays_in_them: |scene| {
@@ -150,7 +150,7 @@
         assert_eq!(scene.choose(&["south"]), None);
     };
     a_hall_of_unknown_region_is_no_home: |mut scene| {
-        scene.known.places = Places::default();
+        scene.known.placement = Placement::default();
         assert_eq!(scene.choose(&["south"]), None);
         assert!(scene.choose(&[]).is_some());
     };
@@ -231,14 +231,14 @@
 /// A hall's return is learned as the change of what was known; one that has just started knows nothing before.
 #[test]
 fn a_return_is_seen_once() {
-    let mut places = places();
-    assert!(places.set_evacuations(evacuated("a")).is_empty());
+    let mut placement = placement();
+    assert!(placement.set_evacuations(evacuated("a")).is_empty());
     let mut ended = Evacuations::clone(&evacuated("a"));
     ended.apply(2, Evacuation { hall: "a".into(), begins: false, as_of: 1 });
     let ended = Arc::new(ended);
-    assert_eq!(places.set_evacuations(ended.clone()), [HallId::from("a")]);
-    assert!(places.set_evacuations(ended.clone()).is_empty());
-    assert_eq!(Places::default().set_evacuations(ended), [HallId::from("a")]);
+    assert_eq!(placement.set_evacuations(ended.clone()), [HallId::from("a")]);
+    assert!(placement.set_evacuations(ended.clone()).is_empty());
+    assert_eq!(Placement::default().set_evacuations(ended), [HallId::from("a")]);
 }
 
 macro_rules! homes {
--- a/crates/rudder-gateway/tests/support/mod.rs
+++ b/crates/rudder-gateway/tests/support/mod.rs
@@ -7,7 +7,7 @@
 use rudder_core::{Phase, Registration};
 use rudder_gateway::{
     Plan, Policy, backoff::Backoff, choose::Inputs, health::Health, limits::Limits, loads::EndpointLoads,
-    places::Places, prefill::PrefillSpeeds, roster::Roster, slow_start::SlowStartState,
+    placement::Placement, prefill::PrefillSpeeds, roster::Roster, slow_start::SlowStartState,
 };
 use rudder_model::HallId;
 
@@ -40,7 +40,7 @@
     pub health: Health,
     pub backoff: Backoff,
     pub prefill: PrefillSpeeds,
-    pub places: Places,
+    pub placement: Placement,
     pub slow_start: SlowStartState,
     pub limits: Limits,
     pub hall: HallId,
@@ -58,7 +58,7 @@
             health: Health::default(),
             backoff: Backoff::default(),
             prefill: PrefillSpeeds::default(),
-            places: Places::default(),
+            placement: Placement::default(),
             slow_start: SlowStartState::new("me".into(), now),
             limits: Limits::default(),
             hall: "a".into(),
@@ -78,7 +78,7 @@
             health: &self.health,
             backoff: &self.backoff,
             prefill: &self.prefill,
-            places: &self.places,
+            placement: &self.placement,
             slow_start: &self.slow_start,
             limits: &self.limits,
             hall: &self.hall,
