--- a/crates/rudder-gateway/src/choose/mod.rs
+++ b/crates/rudder-gateway/src/choose/mod.rs
@@ -20,7 +20,7 @@
     backoff::Backoff,
     dialect::Prompt,
     health::Health,
-    limits::Limits,
+    limits::RateLimits,
     loads::EndpointLoads,
     placement::Placement,
     plan::Route,
@@ -46,7 +46,7 @@
     /// Endpoints that are warming up.
     pub slow_start: &'a SlowStartState,
     /// Rate limits of endpoints.
-    pub limits: &'a Limits,
+    pub limits: &'a RateLimits,
     /// This instance's hall.
     pub hall: &'a HallId,
     /// The configuration.
--- a/crates/rudder-gateway/src/limits.rs
+++ b/crates/rudder-gateway/src/limits.rs
@@ -86,11 +86,11 @@
 
 /// The limits of all endpoints.
 #[derive(Debug, Default)]
-pub struct Limits {
+pub struct RateLimits {
     known: HashMap<EndpointTag, Known>,
 }
 
-impl Limits {
+impl RateLimits {
     /// Records what an answer says of the limit of `endpoint`, to a request sent at `sent`. Returns what is to be told of it.
     pub fn record_answer(
         &mut self,
--- a/crates/rudder-gateway/src/shared.rs
+++ b/crates/rudder-gateway/src/shared.rs
@@ -28,7 +28,7 @@
     contents::{Contents, REFUSED_FOR},
     dialect::EntriesQuery,
     health::Health,
-    limits::{Limits, Permit},
+    limits::{Permit, RateLimits},
     loads::EndpointLoads,
     logging::Log,
     metrics::{Metrics, Standing},
@@ -148,7 +148,7 @@
     /// Endpoints that want nothing.
     pub backoff: RefCell<Backoff>,
     /// Rate limits of endpoints.
-    pub limits: RefCell<Limits>,
+    pub limits: RefCell<RateLimits>,
     /// What became of contents at endpoints.
     pub contents: RefCell<Contents>,
     /// How fast engines read.
--- a/crates/rudder-gateway/tests/limits.rs
+++ b/crates/rudder-gateway/tests/limits.rs
@@ -4,7 +4,7 @@
 
 use rudder_clock::Moment;
 use rudder_core::limits::LimitReport;
-use rudder_gateway::{dialect::LimitNotice, limits::Limits};
+use rudder_gateway::{dialect::LimitNotice, limits::RateLimits};
 use rudder_model::{EndpointId, RequestRate, id};
 
 const NONE: LimitNotice = LimitNotice::Unlimited;
@@ -22,7 +22,7 @@
 impl Case {
     fn run(&self) {
         let endpoint: EndpointId = "e-1".into();
-        let (mut limits, start) = (Limits::default(), Moment::now());
+        let (mut limits, start) = (RateLimits::default(), Moment::now());
         for (sent, came, notice) in &self.answers {
             let before = limits.rate(&endpoint);
             let at = |millis: &u64| start + Duration::from_millis(*millis);
@@ -64,9 +64,9 @@
     Duration::from_millis(millis)
 }
 
-/// Limits in which the endpoint has just named one of 40 a second.
-fn limited_to_forty(now: Moment) -> Limits {
-    let mut limits = Limits::default();
+/// Rate limits in which the endpoint has just named one of 40 a second.
+fn limited_to_forty(now: Moment) -> RateLimits {
+    let mut limits = RateLimits::default();
     limits.record_answer(&ENDPOINT.into(), limited(40.0), now, now);
     limits
 }
--- a/crates/rudder-gateway/tests/support/mod.rs
+++ b/crates/rudder-gateway/tests/support/mod.rs
@@ -6,7 +6,7 @@
 use rudder_clock::Moment;
 use rudder_core::{Phase, Registration};
 use rudder_gateway::{
-    Plan, Policy, backoff::Backoff, choose::Inputs, health::Health, limits::Limits, loads::EndpointLoads,
+    Plan, Policy, backoff::Backoff, choose::Inputs, health::Health, limits::RateLimits, loads::EndpointLoads,
     placement::Placement, prefill::PrefillSpeeds, roster::Roster, slow_start::SlowStartState,
 };
 use rudder_model::HallId;
@@ -42,7 +42,7 @@
     pub prefill: PrefillSpeeds,
     pub placement: Placement,
     pub slow_start: SlowStartState,
-    pub limits: Limits,
+    pub limits: RateLimits,
     pub hall: HallId,
     pub plan: Plan,
     pub policy: Policy,
@@ -60,7 +60,7 @@
             prefill: PrefillSpeeds::default(),
             placement: Placement::default(),
             slow_start: SlowStartState::new("me".into(), now),
-            limits: Limits::default(),
+            limits: RateLimits::default(),
             hall: "a".into(),
             plan: Plan::default(),
             policy: Policy::default(),
