--- a/crates/rudder-gateway/src/call/attempt.rs
+++ b/crates/rudder-gateway/src/call/attempt.rs
@@ -300,7 +300,7 @@
         reused,
         left_ms: left.as_millis() as u64,
         fetch_from: choice.fetch_from.as_deref().map(str::to_owned),
-        keeper: choice.keeper.as_ref().map(|keeper| keeper.endpoint.clone()),
+        keeper: choice.backup.as_ref().map(|backup| backup.endpoint.clone()),
         limit: shared.limits.borrow().rate(&choice.endpoint).map(RequestRate::per_second),
     });
 }
@@ -330,7 +330,7 @@
     };
     let eligible =
         Eligibility { tried: &progress.tried, residency: call.residency.as_deref(), unlimited: progress.unlimited };
-    let first = choose::service_of(&call.route, rand::random())?;
+    let first = choose::pick_service(&call.route, rand::random())?;
     let by_weight = progress.chosen.as_ref().unwrap_or(first);
     let others = call.route.shares.iter().map(|share| &share.service);
     let mut services = std::iter::once(by_weight).chain(others);
--- a/crates/rudder-gateway/src/call/copies.rs
+++ b/crates/rudder-gateway/src/call/copies.rs
@@ -28,10 +28,10 @@
         return None;
     }
     let before = progress.last.take()?;
-    let keeper = before.keeper.as_ref()?;
+    let backup = before.backup.as_ref()?;
     note_outcome(shared, &before.endpoint, Outcome::Unreachable);
-    let work = shared.loads.borrow().at(&keeper.endpoint);
-    if work.calls >= keeper.slots {
+    let work = shared.loads.borrow().at(&backup.endpoint);
+    if work.calls >= backup.slots {
         // What goes on from a copy is let in first, so that a full engine would preempt another for it, be that one
         // more urgent.
         log_failure(shared, call, progress, &before, "the engine that keeps its copy is full", Ran::Unknown);
@@ -42,13 +42,13 @@
         return None;
     }
     let choice = Choice {
-        endpoint: keeper.endpoint.clone(),
-        born: keeper.born,
-        address: keeper.address.clone(),
+        endpoint: backup.endpoint.clone(),
+        born: backup.born,
+        address: backup.address.clone(),
         calls: work.calls,
         ahead: work.unread,
         unread: 0,
-        keeper: None,
+        backup: None,
         fetch_from: None,
         ..before.clone()
     };
--- a/crates/rudder-gateway/src/call/mod.rs
+++ b/crates/rudder-gateway/src/call/mod.rs
@@ -241,7 +241,7 @@
             organisation,
             tier,
             last_event: from.last_event,
-            copy_to: choice.keeper.as_ref().map(|keeper| &*keeper.address),
+            copy_to: choice.backup.as_ref().map(|backup| &*backup.address),
             fetch_from: choice.fetch_from.as_deref().filter(|_| !from.copy),
             resume_from: from.copy.then_some(&*choice.address),
         };
--- a/crates/rudder-gateway/src/choose/engine.rs
+++ b/crates/rudder-gateway/src/choose/engine.rs
@@ -8,7 +8,7 @@
 use rand::seq::IndexedRandom as _;
 use rudder_core::Registration;
 
-use super::{Choice, Eligibility, Inputs, Keeper, Lane, to_choice};
+use super::{Backup, Choice, Eligibility, Inputs, Lane, to_choice};
 use crate::{
     Route,
     dialect::Prompt,
@@ -19,7 +19,7 @@
 };
 
 /// Engines drawn by lot to keep a copy, the one with fewer requests of which does.
-const KEEPERS_DRAWN: usize = 2;
+const BACKUPS_DRAWN: usize = 2;
 /// Where engines of a lane are crowded, so many times the usual number are drawn to find free ones.
 const CROWDED_DRAWN: usize = 4;
 /// Part of a session's tokens that its first engines by hash are taken to lack; all others lack them whole.
@@ -71,9 +71,9 @@
         let chosen = elsewhere.unwrap_or(best);
         let fetch_from = session.source_for(chosen).map(|source| source.address.clone());
         let unread = self.unread_at(chosen, &session);
-        let keepers = if own.endpoints.len() > 1 { own } else { bulk };
-        let keeper = if self.is_copied() { self.draw_keeper(keepers, chosen) } else { None };
-        Some(Choice { keeper, fetch_from, ..to_choice(self.inputs, chosen, unread) })
+        let backups = if own.endpoints.len() > 1 { own } else { bulk };
+        let backup = if self.is_copied() { self.draw_backup(backups, chosen) } else { None };
+        Some(Choice { backup, fetch_from, ..to_choice(self.inputs, chosen, unread) })
     }
 
     fn policy(&self) -> &'a ChoicePolicy {
@@ -169,16 +169,16 @@
     }
 
     /// Another engine than the chosen one: of two drawn by lot, the one with fewer requests.
-    fn draw_keeper(&self, lane: &Lane, chosen: &Registration) -> Option<Keeper> {
-        let drawn = lane.endpoints.sample(&mut rand::rng(), KEEPERS_DRAWN + 1);
+    fn draw_backup(&self, lane: &Lane, chosen: &Registration) -> Option<Backup> {
+        let drawn = lane.endpoints.sample(&mut rand::rng(), BACKUPS_DRAWN + 1);
         let may_keep = |held: &&Arc<Registration>| held.endpoint != chosen.endpoint && self.may_take(held);
-        let others = drawn.filter(may_keep).take(KEEPERS_DRAWN);
-        let keeper = others.min_by_key(|held| self.work(held).calls)?;
-        Some(Keeper {
-            endpoint: keeper.endpoint.clone(),
-            address: keeper.address.clone(),
-            slots: keeper.slots,
-            born: keeper.born,
+        let others = drawn.filter(may_keep).take(BACKUPS_DRAWN);
+        let backup = others.min_by_key(|held| self.work(held).calls)?;
+        Some(Backup {
+            endpoint: backup.endpoint.clone(),
+            address: backup.address.clone(),
+            slots: backup.slots,
+            born: backup.born,
         })
     }
 
--- a/crates/rudder-gateway/src/choose/mod.rs
+++ b/crates/rudder-gateway/src/choose/mod.rs
@@ -88,7 +88,7 @@
 
 /// An endpoint that keeps a copy of a running request's memory.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Keeper {
+pub struct Backup {
     /// The endpoint.
     pub endpoint: EndpointId,
     /// Where it is.
@@ -117,13 +117,13 @@
     /// Prompt tokens that it will have to read for this request.
     pub unread: u32,
     /// Who shall keep a copy of the request's memory.
-    pub keeper: Option<Keeper>,
+    pub backup: Option<Backup>,
     /// Address of the engine from which it takes what that keeps of the prompt.
     pub fetch_from: Option<Arc<str>>,
 }
 
 /// The service that a request goes to first, by weight; `draw` is uniform over all values.
-pub fn service_of(route: &Route, draw: u64) -> Option<&Arc<str>> {
+pub fn pick_service(route: &Route, draw: u64) -> Option<&Arc<str>> {
     let total: u64 = route.shares.iter().map(|share| u64::from(share.weight)).sum();
     let mut left = draw % total.max(1);
     for share in &route.shares {
@@ -169,7 +169,7 @@
         calls: work.calls,
         ahead: work.unread,
         unread,
-        keeper: None,
+        backup: None,
         fetch_from: None,
     }
 }
--- a/crates/rudder-gateway/src/stream.rs
+++ b/crates/rudder-gateway/src/stream.rs
@@ -256,7 +256,7 @@
 
     /// True where another endpoint keeps a copy of the stream's memory. A resumable stream goes on anywhere.
     fn has_copy(&self) -> bool {
-        let kept = self.progress.last.as_ref().is_some_and(|last| last.keeper.is_some());
+        let kept = self.progress.last.as_ref().is_some_and(|last| last.backup.is_some());
         kept && !self.call.route.resumable
     }
 
--- a/crates/rudder-gateway/tests/placement.rs
+++ b/crates/rudder-gateway/tests/placement.rs
@@ -187,7 +187,7 @@
         scene.endpoints.iter().filter(|held| *held.hall == *"c").map(|held| &*held.address).collect();
     for _ in 0..200 {
         let choice = scene.choose(&["south"]).expect("three are there");
-        for other in [choice.fetch_from.as_deref(), choice.keeper.as_ref().map(|keeper| &*keeper.address)] {
+        for other in [choice.fetch_from.as_deref(), choice.backup.as_ref().map(|backup| &*backup.address)] {
             assert!(other.is_none_or(|other| addresses.contains(&other)), "{choice:?}");
         }
     }
--- a/crates/rudder-gateway/tests/policy.rs
+++ b/crates/rudder-gateway/tests/policy.rs
@@ -457,15 +457,15 @@
 #[test]
 fn only_long_quick_streams_have_their_memory_copied() {
     let scene = Scene::new();
-    let keeper = |path: &str, answer_hint: Option<u32>| {
+    let backup = |path: &str, answer_hint: Option<u32>| {
         let prompt = Prompt { max_answer: 2000, answer_hint, ..prompt(5) };
         let choice = scene.choice(path, &prompt, &[]).expect("a choice");
-        choice.keeper.map(|keeper| (keeper.endpoint != choice.endpoint, keeper.address.to_string()))
+        choice.backup.map(|backup| (backup.endpoint != choice.endpoint, backup.address.to_string()))
     };
-    assert!(keeper("/grade/", Some(200)).is_some_and(|(another, _)| another));
-    assert!(keeper("/grade/", None).is_some_and(|(another, _)| another));
-    assert_eq!(keeper("/grade/", Some(199)), None);
-    assert_eq!(keeper("/recap/", Some(900)), None);
+    assert!(backup("/grade/", Some(200)).is_some_and(|(another, _)| another));
+    assert!(backup("/grade/", None).is_some_and(|(another, _)| another));
+    assert_eq!(backup("/grade/", Some(199)), None);
+    assert_eq!(backup("/recap/", Some(900)), None);
 }
 
 /// On the third deployment a token's memory is eighteen times as large, and copies cost what they saved.
@@ -475,7 +475,7 @@
     let engine = Engine { slots: 64, memory: 300_000, copies: true, event_tokens: 6, move_speed: 280.0 };
     scene.known.plan.services.get_mut("svc").expect("it is there").engine = Some(engine);
     let prompt = Prompt { max_answer: 2000, ..prompt(5) };
-    assert_eq!(scene.choice("/grade/", &prompt, &[]).expect("a choice").keeper, None);
+    assert_eq!(scene.choice("/grade/", &prompt, &[]).expect("a choice").backup, None);
 }
 
 /// Their sessions are a few dozen tokens: two engines named by a hash took all streams of a busy one.
