--- a/crates/rudder-gateway/src/choose/candidates.rs
+++ b/crates/rudder-gateway/src/choose/candidates.rs
@@ -1,7 +1,7 @@
-//! The endpoints of one service that requests may go to, as they stand for the moment.
+//! The candidate endpoints of one service, divided into lanes.
 //!
-//! Ranking and dividing all endpoints costs time in proportion to them, so that is done when something of them has
-//! changed, a few times a second, and not for each request. A choice then looks at a few of them.
+//! Filtering and dividing the endpoints takes time linear in their number, so the result is cached for a moment instead
+//! of computed for each request.
 
 use std::{collections::HashMap, rc::Rc, sync::Arc, time::Duration};
 
@@ -16,131 +16,138 @@
     slow_start::Allowance,
 };
 
-/// Candidates are recomputed after this long at the latest: the work of this instance, by which the lanes are divided,
-/// changes with each request.
-const KEEP: Duration = Duration::from_millis(200);
+/// Longest time that candidates are cached: the division into lanes depends on in-flight work, which changes with each
+/// request.
+const MAX_AGE: Duration = Duration::from_millis(200);
 
-/// Endpoints that a request is chosen from.
+/// A set of endpoints to choose from.
 #[derive(Debug, Default)]
 pub struct Lane {
-    /// The endpoints, by rank.
+    /// The endpoints, in the order of their rank.
     pub endpoints: Vec<Arc<Registration>>,
-    /// Those of the instance's own hall.
-    pub near: Vec<Arc<Registration>>,
-    /// Those that warm up and get some of their requests from here: few of many, so that draws would seldom find them,
-    /// while they stand idle.
+    /// The endpoints in this instance's own hall.
+    pub local: Vec<Arc<Registration>>,
+    /// The endpoints in slow start that this instance may send to. They are sampled separately, as a sample of all
+    /// endpoints would rarely include them.
     pub warming: Vec<Arc<Registration>>,
-    /// Hash of each endpoint's name.
+    /// Rendezvous hash key of each endpoint.
     keys: Vec<u64>,
 }
 
 impl Lane {
     fn new(endpoints: Vec<Arc<Registration>>, inputs: &Inputs) -> Lane {
-        let near = endpoints.iter().filter(|held| held.hall == *inputs.hall).cloned().collect();
-        let warming = endpoints.iter().filter(|held| inputs.allowance(held) != Allowance::Unlimited).cloned().collect();
-        let keys = endpoints.iter().map(|held| id::node_key(&held.endpoint)).collect();
-        Lane { endpoints, near, warming, keys }
+        let local = endpoints.iter().filter(|endpoint| endpoint.hall == *inputs.hall).cloned().collect();
+        let is_warming = |endpoint: &&Arc<Registration>| inputs.allowance(endpoint) != Allowance::Unlimited;
+        let warming = endpoints.iter().filter(is_warming).cloned().collect();
+        let keys = endpoints.iter().map(|registration| id::node_key(&registration.endpoint)).collect();
+        Lane { endpoints, local, warming, keys }
     }
 
-    /// The endpoints with the largest rendezvous weights for `key`, the largest first, without those that `skips` names.
-    pub fn homes<const COUNT: usize>(&self, key: u64, skips: impl Fn(&Registration) -> bool) -> Vec<Arc<Registration>> {
+    /// The `COUNT` endpoints with the largest rendezvous weights for `key`, in descending order, without those that
+    /// `skip` selects.
+    pub fn top_ranked<const COUNT: usize>(
+        &self,
+        key: u64,
+        skip: impl Fn(&Registration) -> bool,
+    ) -> Vec<Arc<Registration>> {
         let key = id::number_key(key);
         let mut best: [Option<(u64, usize)>; COUNT] = [None; COUNT];
-        let mut least = 0;
-        for (at, node) in self.keys.iter().enumerate() {
+        let mut min_weight = 0;
+        for (index, node) in self.keys.iter().enumerate() {
             let weight = id::rendezvous_key(key, *node);
-            // Nearly all end here, so that this loop is a few instructions for each endpoint.
-            if weight < least || skips(&self.endpoints[at]) {
+            // The cheap comparison comes first: it rejects nearly all endpoints.
+            if weight < min_weight || skip(&self.endpoints[index]) {
                 continue;
             }
-            let mut entry = Some((weight, at));
-            for place in &mut best {
-                if entry > *place {
-                    std::mem::swap(place, &mut entry);
+            let mut entry = Some((weight, index));
+            for slot in &mut best {
+                if entry > *slot {
+                    std::mem::swap(slot, &mut entry);
                 }
             }
-            least = best[COUNT - 1].map_or(0, |(weight, _)| weight);
+            min_weight = best[COUNT - 1].map_or(0, |(weight, _)| weight);
         }
-        best.into_iter().flatten().map(|(_, at)| self.endpoints[at].clone()).collect()
+        best.into_iter().flatten().map(|(_, index)| self.endpoints[index].clone()).collect()
     }
 }
 
-/// The endpoints of one service.
+/// The candidate endpoints of one service.
 #[derive(Debug, Default)]
 pub struct Candidates {
-    /// Those known to be well that serve quick streams; none where the service has no such lane.
+    /// Healthy endpoints reserved for quick streams; empty if the service has no quick lane.
     pub quick: Lane,
-    /// All others that are known to be well.
+    /// All other healthy endpoints.
     pub bulk: Lane,
-    /// Those that have gone quiet or failed of late: better than none.
+    /// Silent and ejected endpoints, used only if there are no others.
     pub fallback: Lane,
     expires: Option<Moment>,
 }
 
 impl Candidates {
-    /// The candidates of `service` with these endpoints.
+    /// Computes the candidates of `service` from its endpoints.
     pub fn new(endpoints: &[Arc<Registration>], service: &str, inputs: &Inputs) -> Candidates {
-        let is_out = |held: &Registration| inputs.health.is_ejected(&held.endpoint, inputs.now);
-        let is_well = |held: &Arc<Registration>| held.phase == Phase::Ready && !is_out(held);
-        // What may not be used from here at all is in no lane.
-        let is_usable = |held: &&Arc<Registration>| {
-            inputs.placement.is_open(&held.hall)
-                && inputs.allowance(held) != Allowance::Barred
-                && !inputs.backoff.is_blocked(&held.endpoint, inputs.now)
-                && inputs.limits.retry_at(&held.endpoint, inputs.now).is_none()
+        let is_ejected = |registration: &Registration| inputs.health.is_ejected(&registration.endpoint, inputs.now);
+        let is_healthy =
+            |registration: &Arc<Registration>| registration.phase == Phase::Ready && !is_ejected(registration);
+        // Endpoints that this instance must not use are in no lane.
+        let is_usable = |registration: &&Arc<Registration>| {
+            inputs.placement.is_open(&registration.hall)
+                && inputs.allowance(registration) != Allowance::Barred
+                && !inputs.backoff.is_blocked(&registration.endpoint, inputs.now)
+                && inputs.limits.retry_at(&registration.endpoint, inputs.now).is_none()
         };
         let usable = endpoints.iter().filter(is_usable).cloned();
-        let (well, rest): (Vec<_>, Vec<_>) = usable.partition(is_well);
-        let fallback = rest.into_iter().filter(|held| held.phase <= Phase::Silent).collect();
-        let lanes = to_lanes(inputs, service, well);
-        let returns = |held: &Arc<Registration>| {
-            let ends = [
-                inputs.health.returns_at(&held.endpoint, inputs.now),
-                inputs.backoff.retry_at(&held.endpoint, inputs.now),
-                inputs.limits.retry_at(&held.endpoint, inputs.now),
+        let (healthy, unhealthy): (Vec<_>, Vec<_>) = usable.partition(is_healthy);
+        let fallback = unhealthy.into_iter().filter(|registration| registration.phase <= Phase::Silent).collect();
+        let lanes = to_lanes(inputs, service, healthy);
+        let retry_at = |registration: &Arc<Registration>| {
+            let times = [
+                inputs.health.retry_at(&registration.endpoint, inputs.now),
+                inputs.backoff.retry_at(&registration.endpoint, inputs.now),
+                inputs.limits.retry_at(&registration.endpoint, inputs.now),
             ];
-            ends.into_iter().flatten().min()
+            times.into_iter().flatten().min()
         };
-        let back = endpoints.iter().filter_map(returns).min();
+        let earliest_retry = endpoints.iter().filter_map(retry_at).min();
+        let max_expiry = inputs.now + MAX_AGE;
         Candidates {
             quick: Lane::new(lanes.quick, inputs),
             bulk: Lane::new(lanes.bulk, inputs),
             fallback: Lane::new(fallback, inputs),
-            expires: Some(back.unwrap_or(inputs.now + KEEP).min(inputs.now + KEEP)),
+            expires: Some(earliest_retry.unwrap_or(max_expiry).min(max_expiry)),
         }
     }
 }
 
-/// The engines that a request may go to, divided where the service has quick routes beside others.
-fn to_lanes(inputs: &Inputs, service: &str, well: Vec<Arc<Registration>>) -> Lanes<Arc<Registration>> {
+/// Divides the healthy endpoints if the service has both quick and other routes.
+fn to_lanes(inputs: &Inputs, service: &str, healthy: Vec<Arc<Registration>>) -> Lanes<Arc<Registration>> {
     let policy = &inputs.policy.lanes;
     if !policy.enabled || lanes::quick_bound(policy, inputs.plan, service, inputs.prefill).is_none() {
-        return Lanes { quick: Vec::new(), bulk: well };
+        return Lanes { quick: Vec::new(), bulk: healthy };
     }
-    lanes::divide(policy, well, service, inputs.loads)
+    lanes::divide(policy, healthy, service, inputs.loads)
 }
 
 /// Recently computed candidates by service.
 #[derive(Debug, Default)]
 pub struct CandidateCache {
-    held: HashMap<Arc<str>, Rc<Candidates>>,
+    cached: HashMap<Arc<str>, Rc<Candidates>>,
 }
 
 impl CandidateCache {
-    /// Forgets all: something that they rest on has changed.
+    /// Drops all entries, after a change of the state that they depend on.
     pub fn clear(&mut self) {
-        self.held.clear();
+        self.cached.clear();
     }
 
-    /// The candidates of a service.
+    /// The candidates of a service, computed if there is no valid entry.
     pub fn of(&mut self, service: &Arc<str>, roster: &Roster, inputs: &Inputs) -> Rc<Candidates> {
-        let held =
-            self.held.get(service).filter(|candidates| candidates.expires.is_some_and(|expires| inputs.now < expires));
-        if let Some(candidates) = held {
+        let is_valid = |candidates: &&Rc<Candidates>| candidates.expires.is_some_and(|expires| inputs.now < expires);
+        if let Some(candidates) = self.cached.get(service).filter(is_valid) {
             return candidates.clone();
         }
         let candidates = Rc::new(Candidates::new(roster.of(service), service, inputs));
-        self.held.insert(service.clone(), candidates.clone());
+        self.cached.insert(service.clone(), candidates.clone());
         candidates
     }
 }
--- a/crates/rudder-gateway/src/choose/engine.rs
+++ b/crates/rudder-gateway/src/choose/engine.rs
@@ -1,7 +1,7 @@
-//! Choice among engines: the one with the least to read before the request's first output, all else counted as tokens.
+//! Choice among engines: the one with the lowest cost, in prompt tokens to process before the request's first output.
 //!
-//! A prompt's shared parts are taken to be kept at one engine, which the hash of its session names. Quick streams and
-//! the others have lanes of their own; a quick stream goes to the others where its own engines are crowded.
+//! The shared prompt parts of a session are assumed to be cached at the engines that a hash of the session selects.
+//! Quick streams have a lane of their own and overflow to the other lane when it is crowded.
 
 use std::sync::Arc;
 
@@ -18,30 +18,31 @@
     policy::{ChoicePolicy, LanePolicy},
 };
 
-/// Engines drawn by lot to keep a copy, the one with fewer requests of which does.
-const BACKUPS_DRAWN: usize = 2;
-/// Where engines of a lane are crowded, so many times the usual number are drawn to find free ones.
-const CROWDED_DRAWN: usize = 4;
-/// Part of a session's tokens that its first engines by hash are taken to lack; all others lack them whole.
-const MISSING: [f64; 2] = [0.0, 0.5];
+/// Number of sampled engines from which the least loaded becomes the backup.
+const BACKUP_SAMPLES: usize = 2;
+/// Factor by which the sample of a lane grows when its crowded engines are to be skipped.
+const OVERFLOW_SAMPLE_FACTOR: usize = 4;
+/// Share of a session's tokens assumed missing from the caches of its top-ranked engines. All other engines are assumed
+/// to lack them all.
+const MISSING_SHARES: [f64; 2] = [0.0, 0.5];
 
-/// One request that wants an engine.
+/// A request for an engine.
 pub(super) struct Request<'a> {
     inputs: &'a Inputs<'a>,
     route: &'a Route,
     service: &'a str,
     engine: Engine,
     prompt: &'a Prompt,
-    /// Where it may go.
     eligible: Eligibility<'a>,
-    /// It suffers from long prompts beside it.
+    /// Whether the stream is sensitive to the prefill of long prompts on the same engine.
     quick: bool,
 }
 
-/// The engines most likely to keep the parts of a request's session, the likeliest first.
-struct Session {
-    homes: Vec<Arc<Registration>>,
-    /// Others take the session's part from them, as that is quicker than reading it again.
+/// The engines that a session has affinity to.
+struct Affinity {
+    /// Engines most likely to have the session's prompt parts cached, the likeliest first.
+    engines: Vec<Arc<Registration>>,
+    /// Whether other engines fetch those parts from them, as that is faster than prefill.
     fetches: bool,
 }
 
@@ -58,21 +59,20 @@
         Request { inputs, route, service, engine, prompt, eligible, quick }
     }
 
-    /// Picks one of the engines.
+    /// Picks an engine from the request's own lane, or else from the other one.
     pub(super) fn choose(&self, quick: &Lane, bulk: &Lane) -> Option<Choice> {
         let (own, other) = if self.quick { (quick, bulk) } else { (bulk, quick) };
         self.choose_in(own, other, bulk).or_else(|| self.choose_in(other, own, bulk))
     }
 
     fn choose_in(&self, own: &Lane, other: &Lane, bulk: &Lane) -> Option<Choice> {
-        let session = self.to_session(own);
-        let best = self.cheapest(self.draw(own, &session), &session)?;
-        let elsewhere = self.elsewhere(best, other, &session);
-        let chosen = elsewhere.unwrap_or(best);
-        let fetch_from = session.source_for(chosen).map(|source| source.address.clone());
-        let unread = self.unread_at(chosen, &session);
+        let affinity = self.to_affinity(own);
+        let best = self.cheapest(self.sample(own, &affinity), &affinity)?;
+        let chosen = self.overflow(best, other, &affinity).unwrap_or(best);
+        let fetch_from = affinity.source_for(chosen).map(|source| source.address.clone());
+        let unread = self.tokens_to_prefill(chosen, &affinity);
         let backups = if own.endpoints.len() > 1 { own } else { bulk };
-        let backup = if self.is_copied() { self.draw_backup(backups, chosen) } else { None };
+        let backup = if self.needs_backup() { self.sample_backup(backups, chosen) } else { None };
         Some(Choice { backup, fetch_from, ..to_choice(self.inputs, chosen, unread) })
     }
 
@@ -84,96 +84,99 @@
         &self.inputs.policy.lanes
     }
 
-    fn work(&self, held: &Registration) -> Work {
-        self.inputs.loads.at(&held.endpoint)
+    fn work(&self, engine: &Registration) -> Work {
+        self.inputs.loads.at(&engine.endpoint)
     }
 
-    fn is_copied(&self) -> bool {
+    fn needs_backup(&self) -> bool {
         let ChoicePolicy { copied, copy_speed, .. } = *self.policy();
         let cheap = self.engine.move_speed >= self.inputs.prefill.speed(self.service) * copy_speed;
         let long = copied > 0 && self.prompt.expected_answer() >= copied;
         self.engine.copies && cheap && self.quick && long
     }
 
-    /// The engines that are weighed: those of the session and a few drawn by lot. Were all weighed, all instances,
-    /// whose counts of each other's work are some hundred milliseconds old, would send to the same one.
-    fn draw<'e>(&self, lane: &'e Lane, session: &'e Session) -> Vec<&'e Registration> {
+    /// The engines whose costs are compared: those of the session and a random sample. If all engines were compared,
+    /// all instances would send to the same one until the next exchange of load reports.
+    fn sample<'e>(&self, lane: &'e Lane, affinity: &'e Affinity) -> Vec<&'e Registration> {
         let count = self.policy().drawn + self.eligible.tried.len();
-        let mut drawn: Vec<&Registration> = session.homes.iter().map(|home| &**home).collect();
-        drawn.extend(lane.endpoints.sample(&mut rand::rng(), count).map(|held| &**held));
-        drawn.extend(lane.warming.sample(&mut rand::rng(), count).map(|held| &**held));
+        let mut sample: Vec<&Registration> = affinity.engines.iter().map(|engine| &**engine).collect();
+        sample.extend(lane.endpoints.sample(&mut rand::rng(), count).map(|engine| &**engine));
+        sample.extend(lane.warming.sample(&mut rand::rng(), count).map(|engine| &**engine));
         if self.quick {
-            drawn.extend(lane.near.sample(&mut rand::rng(), count).map(|held| &**held));
+            sample.extend(lane.local.sample(&mut rand::rng(), count).map(|engine| &**engine));
         }
-        drawn.retain(|held| self.may_take(held));
-        drawn
+        sample.retain(|engine| self.is_eligible(engine));
+        sample
     }
 
-    fn may_take(&self, held: &Registration) -> bool {
-        self.eligible.allows(self.inputs, held)
+    fn is_eligible(&self, engine: &Registration) -> bool {
+        self.eligible.allows(self.inputs, engine)
     }
 
-    fn cheapest<'e>(&self, drawn: Vec<&'e Registration>, session: &Session) -> Option<&'e Registration> {
-        drawn.into_iter().min_by_key(|held| (self.cost(held, session), rand::random::<u32>()))
+    fn cheapest<'e>(&self, engines: Vec<&'e Registration>, affinity: &Affinity) -> Option<&'e Registration> {
+        engines.into_iter().min_by_key(|engine| (self.cost(engine, affinity), rand::random::<u32>()))
     }
 
-    /// What stands before the first output at an engine, and what the request does there to others, in prompt tokens.
-    fn cost(&self, held: &Registration, session: &Session) -> u64 {
+    /// Cost of sending the request to an engine, for the request itself and for others there, in prompt tokens.
+    fn cost(&self, engine: &Registration, affinity: &Affinity) -> u64 {
         let policy = self.policy();
-        let work = self.work(held);
+        let work = self.work(engine);
         let ahead = u64::from(work.unread) + u64::from(work.calls) * u64::from(policy.call_cost);
-        let stray_most = self.inputs.prefill.tokens_in(self.service, self.route.target.mul_f64(policy.again_most));
-        let again = (u64::from(self.lacked(held, session)) * u64::from(policy.read_again)).min(stray_most);
-        let far = self.quick && held.hall != *self.inputs.hall;
-        let full = work.held + self.prompt.tokens > self.engine.memory;
-        let extra = if full { policy.memory_cost } else { 0 } + if far { policy.far_cost } else { 0 };
-        ahead + again + u64::from(extra)
+        let max_missing_cost =
+            self.inputs.prefill.tokens_in(self.service, self.route.target.mul_f64(policy.again_most));
+        let missing = u64::from(self.missing_tokens(engine, affinity));
+        let missing_cost = (missing * u64::from(policy.read_again)).min(max_missing_cost);
+        let is_remote = self.quick && engine.hall != *self.inputs.hall;
+        let is_full = work.held + self.prompt.tokens > self.engine.memory;
+        let extra = if is_full { policy.memory_cost } else { 0 } + if is_remote { policy.far_cost } else { 0 };
+        ahead + missing_cost + u64::from(extra)
     }
 
-    /// Tokens of the session's part that an engine is taken to lack.
-    fn lacked(&self, held: &Registration, session: &Session) -> u32 {
-        let rank = session.homes.iter().position(|home| home.endpoint == held.endpoint);
-        let missing = rank.map_or(1.0, |rank| MISSING[rank]);
-        (f64::from(self.prompt.session_tokens()) * missing) as u32
+    /// Tokens of the session's prompt parts that an engine is assumed not to have cached.
+    fn missing_tokens(&self, engine: &Registration, affinity: &Affinity) -> u32 {
+        let rank = affinity.engines.iter().position(|other| other.endpoint == engine.endpoint);
+        let share = rank.map_or(1.0, |rank| MISSING_SHARES[rank]);
+        (f64::from(self.prompt.session_tokens()) * share) as u32
     }
 
-    /// Prompt tokens that an engine will have to read for the request.
-    fn unread_at(&self, held: &Registration, session: &Session) -> u32 {
-        let again = if session.source_for(held).is_some() { 0 } else { self.lacked(held, session) };
-        self.prompt.own_tokens() + again
+    /// Prompt tokens that an engine has to process for the request.
+    fn tokens_to_prefill(&self, engine: &Registration, affinity: &Affinity) -> u32 {
+        let is_fetched = affinity.source_for(engine).is_some();
+        let missing = if is_fetched { 0 } else { self.missing_tokens(engine, affinity) };
+        self.prompt.own_tokens() + missing
     }
 
-    /// An engine of the other lane, for a quick stream that may have to wait for a slot in its own.
-    fn elsewhere<'e>(&self, best: &Registration, other: &'e Lane, session: &Session) -> Option<&'e Registration> {
+    /// An engine of the other lane, if this is a quick stream that might queue for a slot at the best engine of its own.
+    fn overflow<'e>(&self, best: &Registration, other: &'e Lane, affinity: &Affinity) -> Option<&'e Registration> {
         if !self.quick || !self.is_crowded(best) {
             return None;
         }
         let count = self.policy().drawn;
-        let is_free = |held: &&Registration| !self.is_crowded(held) && self.may_take(held);
-        let draw = |engines: &'e [Arc<Registration>]| {
-            let drawn = engines.sample(&mut rand::rng(), count * CROWDED_DRAWN).map(|held| &**held);
-            drawn.filter(is_free).take(count).collect::<Vec<_>>()
+        let is_free = |engine: &&Registration| !self.is_crowded(engine) && self.is_eligible(engine);
+        let sample = |engines: &'e [Arc<Registration>]| {
+            let sample = engines.sample(&mut rand::rng(), count * OVERFLOW_SAMPLE_FACTOR).map(|engine| &**engine);
+            sample.filter(is_free).take(count).collect::<Vec<_>>()
         };
-        let mut free = draw(&other.endpoints);
-        free.extend(draw(&other.near));
+        let mut free = sample(&other.endpoints);
+        free.extend(sample(&other.local));
         if free.is_empty() {
-            free.extend(other.endpoints.iter().map(|held| &**held).find(is_free));
+            free.extend(other.endpoints.iter().map(|engine| &**engine).find(is_free));
         }
-        self.cheapest(free, session)
+        self.cheapest(free, affinity)
     }
 
-    /// True where so many slots are in use that a request may have to wait for one.
-    fn is_crowded(&self, held: &Registration) -> bool {
+    /// Whether so many slots are in use that a request might queue for one.
+    fn is_crowded(&self, engine: &Registration) -> bool {
         let overflow = self.lanes().overflow;
-        overflow > 0.0 && f64::from(self.work(held).calls) >= f64::from(held.slots) * overflow
+        overflow > 0.0 && f64::from(self.work(engine).calls) >= f64::from(engine.slots) * overflow
     }
 
-    /// Another engine than the chosen one: of two drawn by lot, the one with fewer requests.
-    fn draw_backup(&self, lane: &Lane, chosen: &Registration) -> Option<Backup> {
-        let drawn = lane.endpoints.sample(&mut rand::rng(), BACKUPS_DRAWN + 1);
-        let may_keep = |held: &&Arc<Registration>| held.endpoint != chosen.endpoint && self.may_take(held);
-        let others = drawn.filter(may_keep).take(BACKUPS_DRAWN);
-        let backup = others.min_by_key(|held| self.work(held).calls)?;
+    /// The less loaded of two random engines other than the chosen one.
+    fn sample_backup(&self, lane: &Lane, chosen: &Registration) -> Option<Backup> {
+        let sample = lane.endpoints.sample(&mut rand::rng(), BACKUP_SAMPLES + 1);
+        let is_suitable = |engine: &&Arc<Registration>| engine.endpoint != chosen.endpoint && self.is_eligible(engine);
+        let others = sample.filter(is_suitable).take(BACKUP_SAMPLES);
+        let backup = others.min_by_key(|engine| self.work(engine).calls)?;
         Some(Backup {
             endpoint: backup.endpoint.clone(),
             address: backup.address.clone(),
@@ -182,22 +185,23 @@
         })
     }
 
-    fn to_session(&self, lane: &Lane) -> Session {
-        let least = self.policy().fetch_least;
-        let quicker = self.engine.move_speed > self.inputs.prefill.speed(self.service);
-        let fetches = least > 0 && self.prompt.session_tokens() >= least && quicker;
+    fn to_affinity(&self, lane: &Lane) -> Affinity {
+        let min_tokens = self.policy().fetch_least;
+        let is_faster = self.engine.move_speed > self.inputs.prefill.speed(self.service);
+        let fetches = min_tokens > 0 && self.prompt.session_tokens() >= min_tokens && is_faster;
         let session = self.prompt.session().filter(|_| self.policy().sessions);
-        let skips = |held: &Registration| !self.may_take(held);
-        let homes = session.map(|part| lane.homes::<{ MISSING.len() }>(part.id, skips)).unwrap_or_default();
-        Session { homes, fetches }
+        let skip = |engine: &Registration| !self.is_eligible(engine);
+        let engines =
+            session.map(|part| lane.top_ranked::<{ MISSING_SHARES.len() }>(part.id, skip)).unwrap_or_default();
+        Affinity { engines, fetches }
     }
 }
 
-impl Session {
-    /// The engine that another one takes the session's part from: the likeliest to keep it. That one itself takes what it
-    /// lacks from the next, which kept the session before engines came or left.
-    fn source_for(&self, held: &Registration) -> Option<&Registration> {
-        let others = self.homes.iter().map(|home| &**home).filter(|home| home.endpoint != held.endpoint);
+impl Affinity {
+    /// The engine from which another one fetches the session's prompt parts: the likeliest to have them cached. That
+    /// engine itself fetches from the next, which may have served the session before the set of engines changed.
+    fn source_for(&self, engine: &Registration) -> Option<&Registration> {
+        let others = self.engines.iter().map(|other| &**other).filter(|other| other.endpoint != engine.endpoint);
         others.into_iter().find(|_| self.fetches)
     }
 }
--- a/crates/rudder-gateway/src/choose/mod.rs
+++ b/crates/rudder-gateway/src/choose/mod.rs
@@ -1,7 +1,7 @@
 //! Choice of the endpoint for one request.
 //!
-//! Plain services: [`plain`]. Engines: [`engine`]. Both choose from [`candidates`], in time that does not grow with the number
-//! of endpoints but for the hash of a session.
+//! Plain services use [`plain`] and engines [`engine`]. Both choose from [`candidates`] in constant time, except that
+//! ranking the endpoints for a session is linear in their number.
 
 mod candidates;
 mod engine;
@@ -28,22 +28,22 @@
     slow_start::{Allowance, SlowStartState},
 };
 
-/// What a choice rests on.
+/// The state that a choice depends on.
 #[derive(Debug)]
 pub struct Inputs<'a> {
-    /// Work under way.
+    /// In-flight work at endpoints.
     pub loads: &'a EndpointLoads,
-    /// How old the others' part of it is.
+    /// Age of the load reports from other instances.
     pub work_age: Duration,
-    /// Outcomes.
+    /// Health of endpoints by request outcomes.
     pub health: &'a Health,
-    /// Endpoints that want nothing.
+    /// Endpoints that asked this instance to back off.
     pub backoff: &'a Backoff,
-    /// How fast engines read.
+    /// Prefill speeds of engines.
     pub prefill: &'a PrefillSpeeds,
-    /// Where requests may go.
+    /// Regions of halls and evacuated halls.
     pub placement: &'a Placement,
-    /// Endpoints that are warming up.
+    /// Slow start of cold endpoints.
     pub slow_start: &'a SlowStartState,
     /// Rate limits of endpoints.
     pub limits: &'a RateLimits,
@@ -51,92 +51,92 @@
     pub hall: &'a HallId,
     /// The configuration.
     pub plan: &'a Plan,
-    /// Settings of the decisions.
+    /// Policy settings.
     pub policy: &'a Policy,
-    /// Now.
+    /// The current time.
     pub now: Moment,
 }
 
 impl Inputs<'_> {
-    /// How an endpoint may be used from here while it warms up.
-    pub fn allowance(&self, held: &Registration) -> Allowance {
-        let warm_up = self.plan.services.get(&held.service).and_then(|service| service.warm_up);
-        self.slow_start.allowance(held, warm_up, &self.policy.slow_start, self.now)
+    /// How many requests this instance may send to an endpoint while it warms up.
+    pub fn allowance(&self, registration: &Registration) -> Allowance {
+        let warm_up = self.plan.services.get(&registration.service).and_then(|service| service.warm_up);
+        self.slow_start.allowance(registration, warm_up, &self.policy.slow_start, self.now)
     }
 }
 
-/// Which endpoints one request may go to, of those that any may.
+/// Restrictions of one request on the candidates.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Eligibility<'a> {
-    /// Endpoints that it must not go to again.
+    /// Endpoints already tried, which are excluded.
     pub tried: &'a [EndpointId],
-    /// The regions that it is bound to; `None` where it is not.
+    /// The regions to which the request is restricted, if any.
     pub residency: Option<&'a [RegionId]>,
-    /// It may go to endpoints without a rate limit alone.
+    /// Exclude endpoints with a rate limit.
     pub unlimited: bool,
 }
 
 impl Eligibility<'_> {
-    /// True where the request may go to `held` now.
-    pub fn allows(&self, inputs: &Inputs, held: &Registration) -> bool {
-        !self.tried.contains(&held.endpoint)
-            && inputs.placement.allows(self.residency, &held.hall)
-            && !(self.unlimited && inputs.limits.rate(&held.endpoint).is_some())
-            && inputs.slow_start.has_room(&held.endpoint, inputs.allowance(held), inputs.now)
+    /// Whether the request may be sent to this endpoint now.
+    pub fn allows(&self, inputs: &Inputs, registration: &Registration) -> bool {
+        !self.tried.contains(&registration.endpoint)
+            && inputs.placement.allows(self.residency, &registration.hall)
+            && !(self.unlimited && inputs.limits.rate(&registration.endpoint).is_some())
+            && inputs.slow_start.has_room(&registration.endpoint, inputs.allowance(registration), inputs.now)
     }
 }
 
-/// An endpoint that keeps a copy of a running request's memory.
+/// An endpoint that keeps a copy of a running request's KV cache.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Backup {
-    /// The endpoint.
+    /// Its id.
     pub endpoint: EndpointId,
-    /// Where it is.
+    /// Its address.
     pub address: Arc<str>,
-    /// Requests it works on at once.
+    /// Requests that it processes concurrently.
     pub slots: u32,
-    /// When its life began, where it tells that.
+    /// When it started, if it reports that.
     pub born: Option<Born>,
 }
 
-/// A choice.
+/// The chosen endpoint.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Choice {
-    /// The endpoint.
+    /// Its id.
     pub endpoint: EndpointId,
-    /// When its life began, where it tells that.
+    /// When it started, if it reports that.
     pub born: Option<Born>,
-    /// Where it is.
+    /// Its address.
     pub address: Arc<str>,
     /// Its service.
     pub service: Arc<str>,
-    /// Requests known to be there.
+    /// Requests known to be in flight there.
     pub calls: u32,
-    /// Prompt tokens known to be unread there.
+    /// Prompt tokens known to await prefill there.
     pub ahead: u32,
-    /// Prompt tokens that it will have to read for this request.
+    /// Prompt tokens of this request that are not cached there.
     pub unread: u32,
-    /// Who shall keep a copy of the request's memory.
+    /// The engine that is to keep a copy of the request's KV cache.
     pub backup: Option<Backup>,
-    /// Address of the engine from which it takes what that keeps of the prompt.
+    /// Address of the engine from which it fetches the cached part of the prompt.
     pub fetch_from: Option<Arc<str>>,
 }
 
-/// The service that a request goes to first, by weight; `draw` is uniform over all values.
+/// Picks the service that a request is first sent to, by weight. `draw` is a uniformly distributed random number.
 pub fn pick_service(route: &Route, draw: u64) -> Option<&Arc<str>> {
     let total: u64 = route.shares.iter().map(|share| u64::from(share.weight)).sum();
-    let mut left = draw % total.max(1);
+    let mut remaining = draw % total.max(1);
     for share in &route.shares {
         let weight = u64::from(share.weight);
-        if left < weight {
+        if remaining < weight {
             return Some(&share.service);
         }
-        left -= weight;
+        remaining -= weight;
     }
     None
 }
 
-/// Picks an endpoint of `service` from its `candidates` for a request of `route`, as far as it is eligible.
+/// Picks an eligible endpoint of `service` from its `candidates` for a request of `route`.
 pub fn choose(
     inputs: &Inputs,
     route: &Route,
--- a/crates/rudder-gateway/src/choose/plain.rs
+++ b/crates/rudder-gateway/src/choose/plain.rs
@@ -1,8 +1,8 @@
-//! Choice among the endpoints of a plain service: the one with the fewest requests, as far as that is known.
+//! Choice among the endpoints of a plain service: the one with the fewest requests in flight, as far as known.
 //!
-//! The counts of the others' requests are some hundred milliseconds old. Where more requests come in that time than the
-//! counts differ by, all instances would send to the one that looked best, and fill it. So counts that differ by less
-//! than what may have come since are taken for equal, and the nearest endpoint for the best of equals.
+//! Load reports from other instances are up to some hundred milliseconds old. If all instances acted on small
+//! differences between them, they would all send to the same endpoint. Counts that differ by less than the arrivals
+//! since the last report are therefore ties, and ties go to the instance's own hall.
 
 use std::time::Duration;
 
@@ -12,51 +12,55 @@
 use super::{Choice, Eligibility, Inputs, Lane, to_choice};
 use crate::recent::SPAN;
 
-/// Part of an endpoint's slots at most by which counts may differ and yet be taken for equal: one that is nearly full is
-/// never as good as an idle one.
-const EQUAL_MOST: f64 = 0.5;
+/// Largest difference between tied counts, as a share of an endpoint's slots: a nearly full endpoint must not tie with
+/// an idle one.
+const MAX_TIE_SHARE: f64 = 0.5;
 
-/// Up to so many endpoints, all are weighed; of more, half as many are drawn by lot from the instance's own hall and half
-/// from all.
-const WEIGHED_MOST: usize = 24;
+/// Lanes of up to this many endpoints are compared as a whole. Of larger ones, half as many endpoints are sampled from
+/// the instance's own hall, and half as many from the whole lane.
+const MAX_COMPARED: usize = 24;
 
 /// Picks one of the eligible endpoints.
 pub(super) fn choose(inputs: &Inputs, lane: &Lane, eligible: Eligibility) -> Option<Choice> {
-    let candidates = draw(inputs, lane, eligible);
-    let calls = |held: &Registration| inputs.loads.at(&held.endpoint).calls;
-    let least = candidates.iter().map(|held| calls(held)).min()?;
-    let come = come_since(inputs, &candidates);
-    let equal = |held: &&&Registration| {
-        let bound = come.min(f64::from(held.slots) * EQUAL_MOST);
-        f64::from(calls(held) - least) <= bound
+    let candidates = sample(inputs, lane, eligible);
+    let calls = |registration: &Registration| inputs.loads.at(&registration.endpoint).calls;
+    let min_calls = candidates.iter().map(|registration| calls(registration)).min()?;
+    let arrivals = arrivals_since_report(inputs, &candidates);
+    let is_tied = |registration: &&&Registration| {
+        let bound = arrivals.min(f64::from(registration.slots) * MAX_TIE_SHARE);
+        f64::from(calls(registration) - min_calls) <= bound
     };
-    let far = |held: &Registration| held.hall != *inputs.hall;
-    let chosen = candidates.iter().filter(equal).min_by_key(|held| (far(held), rand::random::<u32>()))?;
+    let is_remote = |registration: &Registration| registration.hall != *inputs.hall;
+    let chosen = candidates
+        .iter()
+        .filter(is_tied)
+        .min_by_key(|registration| (is_remote(registration), rand::random::<u32>()))?;
     Some(to_choice(inputs, chosen, 0))
 }
 
-/// The endpoints that are weighed.
-fn draw<'a>(inputs: &Inputs, lane: &'a Lane, eligible: Eligibility) -> Vec<&'a Registration> {
-    let may_take = |held: &&Registration| eligible.allows(inputs, held);
-    let all = || lane.endpoints.iter().map(|held| &**held).filter(may_take);
-    if lane.endpoints.len() <= WEIGHED_MOST {
+/// The eligible endpoints to compare.
+fn sample<'a>(inputs: &Inputs, lane: &'a Lane, eligible: Eligibility) -> Vec<&'a Registration> {
+    let is_eligible = |registration: &&Registration| eligible.allows(inputs, registration);
+    let all = || lane.endpoints.iter().map(|registration| &**registration).filter(is_eligible);
+    if lane.endpoints.len() <= MAX_COMPARED {
         return all().collect();
     }
-    let half = WEIGHED_MOST / 2;
-    let near = lane.near.sample(&mut rand::rng(), half);
-    let drawn = near.chain(lane.endpoints.sample(&mut rand::rng(), half));
-    let drawn = drawn.chain(lane.warming.sample(&mut rand::rng(), half));
-    let mut drawn: Vec<&Registration> = drawn.map(|held| &**held).filter(may_take).collect();
-    // A request that may go to none of those takes the first other one that it may go to.
-    if drawn.is_empty() {
-        drawn.extend(all().next());
+    let half = MAX_COMPARED / 2;
+    let local = lane.local.sample(&mut rand::rng(), half);
+    let sample = local.chain(lane.endpoints.sample(&mut rand::rng(), half));
+    let sample = sample.chain(lane.warming.sample(&mut rand::rng(), half));
+    let mut sample: Vec<&Registration> = sample.map(|registration| &**registration).filter(is_eligible).collect();
+    // If no sampled endpoint is eligible, take the first eligible one of the lane.
+    if sample.is_empty() {
+        sample.extend(all().next());
     }
-    drawn
+    sample
 }
 
-/// Requests that came to one of the endpoints, in the mean, since the others' counts were taken.
-fn come_since(inputs: &Inputs, candidates: &[&Registration]) -> f64 {
-    let ended: u32 = candidates.iter().map(|held| inputs.loads.tally(&held.endpoint, inputs.now).ended).sum();
+/// Estimated mean number of requests that arrived at an endpoint since the last load reports.
+fn arrivals_since_report(inputs: &Inputs, candidates: &[&Registration]) -> f64 {
+    let ended: u32 =
+        candidates.iter().map(|registration| inputs.loads.tally(&registration.endpoint, inputs.now).ended).sum();
     let rate = f64::from(ended) / Duration::from_secs(SPAN).as_secs_f64();
     rate * inputs.work_age.as_secs_f64() / candidates.len().max(1) as f64
 }
--- a/crates/rudder-gateway/src/health.rs
+++ b/crates/rudder-gateway/src/health.rs
@@ -62,7 +62,7 @@
     }
 
     /// When `endpoint`, which is left out for its outcomes here, is tried again.
-    pub fn returns_at(&self, endpoint: &str, now: Moment) -> Option<Moment> {
+    pub fn retry_at(&self, endpoint: &str, now: Moment) -> Option<Moment> {
         self.standings.get(endpoint)?.until.filter(|until| now < *until)
     }
 
--- a/crates/rudder-gateway/tests/candidates.rs
+++ b/crates/rudder-gateway/tests/candidates.rs
@@ -20,7 +20,7 @@
 
 fn homes(engines: &[Registration], session: u64, skipped: &str) -> Vec<EndpointId> {
     let candidates = Candidates::new(roster(engines).of("svc"), "svc", &Known::default().inputs());
-    let homes = candidates.bulk.homes::<2>(session, |held| *held.endpoint == *skipped);
+    let homes = candidates.bulk.top_ranked::<2>(session, |held| *held.endpoint == *skipped);
     homes.iter().map(|home| home.endpoint.clone()).collect()
 }
 
