--- a/crates/rudder-gateway/src/plan.rs
+++ b/crates/rudder-gateway/src/plan.rs
@@ -1,4 +1,4 @@
-//! The configuration document as the entry uses it: routes, services, organisations, limits.
+//! The parsed configuration document: routes, services, organisations and limits.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -6,59 +6,59 @@
 
 use crate::placement::Residency;
 
-/// What may be repeated of a route's requests.
+/// Whether and how a route's requests may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RouteKind {
-    /// May run more than once.
+    /// Idempotent: may run more than once.
     Repeatable,
     /// Runs at most once.
     Once,
-    /// Answers with a stream of events; runs at most once unless it can be resumed.
+    /// Answers with a stream of events; runs at most once unless the route is resumable.
     Stream,
 }
 
-/// A service that a route's requests may go to.
+/// A service that receives a share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Share {
     /// The service.
     pub service: Arc<str>,
-    /// Its part of the requests, beside the other weights.
+    /// Its weight relative to the other shares.
     pub weight: u32,
 }
 
-/// One route: requests of a host under a path prefix.
+/// A route: the requests for a host whose path has a given prefix.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
     /// Its name.
     pub name: Arc<str>,
-    /// The host that it serves.
+    /// The host that it matches.
     pub host: Arc<str>,
-    /// The beginning of the paths that it serves.
+    /// The path prefix that it matches.
     pub prefix: Arc<str>,
-    /// What may be repeated.
+    /// Whether its requests may be retried.
     pub kind: RouteKind,
-    /// Longest time that a request is held.
+    /// Time limit of a request.
     pub timeout: Duration,
-    /// Time within which an answer, or a stream's first event, is in time.
+    /// Target latency of an answer, or of a stream's first event.
     pub target: Duration,
-    /// Longest pause between events at which a stream is in time.
+    /// Target for the longest pause between the events of a stream.
     pub pause: Option<Duration>,
-    /// Rank; 0 is the highest.
+    /// Priority; 0 is the highest.
     pub tier: u8,
-    /// Where requests go.
+    /// The services that its requests are distributed over.
     pub shares: Vec<Share>,
-    /// Endpoints that one request may be sent to at most.
+    /// Maximum number of attempts of a request, each at another endpoint.
     pub attempts: u32,
-    /// Served without a key.
+    /// Served without an API key.
     pub open: bool,
-    /// Its streams may be taken up at another endpoint.
+    /// Its streams may be resumed at another endpoint.
     pub resumable: bool,
-    /// Where its requests may be run and kept.
+    /// The regions that its requests are restricted to.
     pub residency: Residency,
 }
 
 impl Route {
-    /// True where a request that may have run can be sent again.
+    /// Whether a request that may already have run can be retried.
     pub fn may_repeat(&self) -> bool {
         match self.kind {
             RouteKind::Repeatable => true,
@@ -68,55 +68,55 @@
     }
 }
 
-/// How long endpoints are slow after a start, and what they bear meanwhile.
+/// Slow start of the endpoints of a service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WarmUp {
-    /// How long.
+    /// Time that an endpoint takes to warm up.
     pub span: Duration,
-    /// Requests a second, from all instances together.
+    /// Requests per second that a cold endpoint takes, from all instances together.
     pub rate: f64,
 }
 
-/// One service.
+/// A service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
     /// Its name.
     pub name: Arc<str>,
-    /// Connections that one of its endpoints takes from all callers together.
+    /// Maximum number of connections to one of its endpoints, from all callers together.
     pub connections: u32,
-    /// Its endpoints' engine, where they generate.
+    /// Properties of its inference engines; `None` for a plain service.
     pub engine: Option<Engine>,
-    /// How many endpoints may be ordered, where any may.
+    /// Bounds of autoscaling, if enabled.
     pub scaling: Option<Bounds>,
-    /// What its endpoints bear after a start, where that is bounded.
+    /// Slow start of its endpoints, if configured.
     pub warm_up: Option<WarmUp>,
 }
 
-/// What the engines of a service are able to do.
+/// Properties of the engines of a service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Engine {
-    /// Requests batched at once.
+    /// Maximum batch size, in requests.
     pub slots: u32,
-    /// Memory for running requests and kept prompt parts, in tokens.
+    /// Size of the KV cache, in tokens.
     pub memory: u32,
-    /// They keep copies of each other's running requests, from which another can go on.
+    /// Whether the engines replicate the KV cache of running requests, so that another can resume them.
     pub copies: bool,
-    /// Tokens that one event of a stream holds.
+    /// Tokens per event of a stream.
     pub event_tokens: u32,
-    /// Tokens of kept prompts that one engine takes over from another in a millisecond; 0 where they cannot.
+    /// Speed at which an engine fetches cached prompt tokens from another, in tokens per millisecond; 0 if unsupported.
     pub move_speed: f64,
 }
 
-/// Bounds on what callers send.
+/// Limits on requests and connections of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request's head, in bytes.
     pub head: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub body: usize,
-    /// Time that a head may take.
+    /// Time limit for receiving a request's head.
     pub head_time: Duration,
-    /// Time that a connection may rest.
+    /// Idle timeout of a connection.
     pub idle: Duration,
 }
 
@@ -126,18 +126,18 @@
     }
 }
 
-/// One organisation that holds keys.
+/// An organisation with API keys.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Organisation {
     /// Its name.
     pub name: Arc<str>,
-    /// Rank that goes before that of the route.
+    /// Priority that takes precedence over that of the route.
     pub tier: Option<u8>,
-    /// Where its requests may be run and kept.
+    /// The regions that its requests are restricted to.
     pub residency: Residency,
 }
 
-/// The shortest and longest pause that the routes of a service allow.
+/// The shortest and the longest pause target among the routes of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pauses {
     /// The shortest.
@@ -146,29 +146,30 @@
     pub longest: Duration,
 }
 
-/// A whole configuration document, read.
+/// The parsed configuration document.
 #[derive(Clone, Debug, Default)]
 pub struct Plan {
     /// Its version.
     pub version: u64,
     /// Services by name.
     pub services: HashMap<Arc<str>, Service>,
-    /// Bounds on what callers send.
+    /// Limits on requests and connections of callers.
     pub limits: Limits,
-    /// Organisations; `None` where the document has none and no key is asked for.
+    /// Organisations; `None` if the document defines none, and requests need no key.
     pub organisations: Option<Vec<Organisation>>,
     routes: HashMap<Arc<str>, Vec<Arc<Route>>>,
-    /// The lowest rank among the routes of each service.
+    /// The lowest priority among the routes of each service.
     lowest: HashMap<Arc<str>, u8>,
-    /// The pauses that the routes of each service allow.
+    /// Range of the pause targets of each service.
     pauses: HashMap<Arc<str>, Pauses>,
+    /// Index into `organisations` by API key.
     keys: HashMap<Arc<str>, usize>,
 }
 
-/// Why routes or keys cannot stand together.
+/// An inconsistency in a configuration document.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Fault {
-    /// Two routes serve the same place.
+    /// Two routes match the same host and prefix.
     #[error("two routes share host {host} and prefix {prefix}")]
     SamePlace {
         /// The host.
@@ -176,21 +177,21 @@
         /// The path prefix.
         prefix: String,
     },
-    /// A route names a service that does not exist.
-    #[error("route {route} names the unknown service {service}")]
+    /// A route refers to a service that is not defined.
+    #[error("route {route} refers to the unknown service {service}")]
     UnknownService {
         /// The route.
         route: String,
-        /// The service it names.
+        /// The undefined service.
         service: String,
     },
-    /// No service of a route gets any requests.
-    #[error("the weights of route {0} add up to nothing")]
+    /// The weights of a route's services are all zero.
+    #[error("the weights of route {0} sum to zero")]
     NoWeight(String),
-    /// A route without time.
-    #[error("route {0} has a time-out of nothing")]
+    /// The timeout of a route is zero.
+    #[error("route {0} has a timeout of zero")]
     NoTimeout(String),
-    /// What a service says of ordering its endpoints cannot be used.
+    /// The autoscaling settings of a service are invalid.
     #[error("service {service}: {key}: {why}")]
     Scaling {
         /// The service.
@@ -200,7 +201,7 @@
         /// What is wrong with it.
         why: String,
     },
-    /// What a service says of the start of its endpoints cannot be used.
+    /// The slow start settings of a service are invalid.
     #[error("service {service}: {key}: {why}")]
     WarmUp {
         /// The service.
@@ -216,7 +217,7 @@
 }
 
 impl Plan {
-    /// A plan without routes.
+    /// A configuration without routes.
     pub fn new(version: u64, limits: Limits) -> Plan {
         Plan { version, limits, ..Plan::default() }
     }
@@ -224,7 +225,7 @@
     /// Adds a route.
     ///
     /// # Errors
-    /// When it cannot stand beside those that are there, or names no known service.
+    /// When the route is invalid or conflicts with another one.
     pub fn add_route(&mut self, route: Route) -> Result<(), Fault> {
         if let Some(share) = route.shares.iter().find(|share| !self.services.contains_key(&share.service)) {
             return Err(Fault::UnknownService { route: route.name.to_string(), service: share.service.to_string() });
@@ -236,7 +237,7 @@
             return Err(Fault::NoTimeout(route.name.to_string()));
         }
         let routes = self.routes.entry(route.host.clone()).or_default();
-        if routes.iter().any(|held| held.prefix == route.prefix) {
+        if routes.iter().any(|other| other.prefix == route.prefix) {
             return Err(Fault::SamePlace { host: route.host.to_string(), prefix: route.prefix.to_string() });
         }
         for share in &route.shares {
@@ -251,36 +252,37 @@
                 pauses.longest = pause.max(pauses.longest);
             }
         }
-        // The longest prefix is tried first.
-        let at = routes.partition_point(|held| held.prefix.len() >= route.prefix.len());
-        routes.insert(at, Arc::new(route));
+        // Longest prefix first, as `find` returns the first match.
+        let index = routes.partition_point(|other| other.prefix.len() >= route.prefix.len());
+        routes.insert(index, Arc::new(route));
         Ok(())
     }
 
-    /// Adds an organisation with its keys.
+    /// Adds an organisation with its API keys.
     ///
     /// # Errors
-    /// When another organisation holds one of the keys.
+    /// When one of the keys belongs to another organisation.
     pub fn add_organisation(&mut self, organisation: Organisation, keys: Vec<Arc<str>>) -> Result<(), Fault> {
         let organisations = self.organisations.get_or_insert_default();
-        let number = organisations.len();
+        let index = organisations.len();
         let name = organisation.name.to_string();
         organisations.push(organisation);
         for key in keys {
-            let held = self.keys.insert(key, number).filter(|held| *held != number);
-            if let Some(held) = held {
-                return Err(Fault::SharedKey(organisations[held].name.to_string(), name));
+            let other = self.keys.insert(key, index).filter(|other| *other != index);
+            if let Some(other) = other {
+                return Err(Fault::SharedKey(organisations[other].name.to_string(), name));
             }
         }
         Ok(())
     }
 
-    /// The route of a request: the longest prefix of its host that begins the path.
+    /// The route of a request: the one of its host with the longest matching prefix.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         self.routes.get(host)?.iter().find(|route| path.starts_with(&*route.prefix))
     }
 
-    /// The regions that all routes of `host` are bound to together; `None` where one of them is bound to none.
+    /// The union of the regions that the routes of `host` are restricted to; `None` if one of them is unrestricted or
+    /// there are none.
     pub fn residency_of_host(&self, host: &str) -> Residency {
         let mut regions = Vec::new();
         for route in self.routes.get(host)? {
@@ -289,29 +291,29 @@
         Some(regions.into())
     }
 
-    /// The pauses that the routes of a service allow, where it has routes that name any.
+    /// The range of the pause targets of a service, if any of its routes has one.
     pub fn pauses(&self, service: &str) -> Option<Pauses> {
         self.pauses.get(service).copied()
     }
 
-    /// Rank of a request among an engine's: first by `tier`, the organisation's where it has one, and among equals by the
-    /// route's own.
+    /// Priority of a request at an engine: ordered by `tier`, which is the organisation's if it has one, and then by the
+    /// tier of the route.
     pub fn engine_rank(&self, route: &Route, tier: u8) -> u8 {
         let tiers = self.routes().map(|route| route.tier).max().unwrap_or_default().saturating_add(1);
         tier.saturating_mul(tiers).saturating_add(route.tier)
     }
 
-    /// True for routes that no other route of the service ranks below.
+    /// Whether no other route of the service has a lower priority.
     pub fn is_lowest(&self, route: &Route, service: &str) -> bool {
         self.lowest.get(service).is_none_or(|lowest| route.tier >= *lowest)
     }
 
-    /// Number of the organisation that holds `key`.
+    /// Index of the organisation that `key` belongs to.
     pub fn organisation_number(&self, key: &str) -> Option<usize> {
         self.keys.get(key).copied()
     }
 
-    /// The organisation that holds `key`.
+    /// The organisation that `key` belongs to.
     pub fn organisation_of(&self, key: &str) -> Option<&Organisation> {
         self.organisations.as_ref()?.get(self.organisation_number(key)?)
     }
