--- a/crates/rudder-gateway/src/policy.rs
+++ b/crates/rudder-gateway/src/policy.rs
@@ -1,7 +1,7 @@
-//! Settings of the decisions: which engines a request may go to, which it goes to, what is refused and sent again.
+//! Policy settings: choice of endpoints, admission, retries, scaling and slow start.
 //!
-//! Each mechanism can be switched off and each weight be set, so that what it is worth can be measured. The defaults
-//! are what ships; where a figure comes from stands beside it and, with its measurements, in docs/DECISIONS.md.
+//! Each mechanism can be disabled and each weight be set, so that its effect can be measured. The defaults equal
+//! `deploy/policy.toml`.
 
 use std::path::{Path, PathBuf};
 
@@ -9,7 +9,7 @@
 use rudder_route::{scale::ScaleOptions, slow_start::SlowStart};
 use serde::Deserialize;
 
-/// Why a policy file is refused.
+/// An error in a policy file.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
     /// The file cannot be read.
@@ -17,69 +17,69 @@
     Read {
         /// The file.
         path: PathBuf,
-        /// What the system reported.
+        /// The I/O error.
         source: std::io::Error,
     },
-    /// It is no TOML, or names a field that does not exist; the text tells key and line.
+    /// The file is not valid TOML or has an unknown field; the source names key and line.
     #[error("{path}: {source}")]
     Parse {
         /// The file.
         path: PathBuf,
-        /// What is wrong.
+        /// The parse error.
         source: toml::de::Error,
     },
-    /// A figure that cannot be used.
-    #[error("{key}: {value} is not between {least} and {most}")]
+    /// A value out of range.
+    #[error("{key}: {value} is not between {min} and {max}")]
     Value {
-        /// The field.
+        /// The key of the setting.
         key: &'static str,
         /// Its value.
         value: f64,
-        /// Smallest value that can be used.
-        least: f64,
-        /// Largest value that can be used.
-        most: f64,
+        /// Smallest valid value.
+        min: f64,
+        /// Largest valid value.
+        max: f64,
     },
 }
 
-/// All settings of the decisions.
+/// All policy settings.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct Policy {
-    /// Engines set apart for streams that suffer from long prompts beside them.
+    /// Engines reserved for streams that are sensitive to the prefill of long prompts.
     pub lanes: LanePolicy,
-    /// The choice among engines.
+    /// Choice among engines.
     pub choice: ChoicePolicy,
-    /// What is refused, left out and sent again.
+    /// Admission control, ejection and retries.
     pub guard: GuardPolicy,
-    /// Who asks the leader for news and who a relay.
+    /// Which instances poll the leader and which a relay.
     pub relays: Tree,
-    /// How many engines are ordered.
+    /// Autoscaling of engines.
     pub scaling: ScaleOptions,
-    /// What endpoints get while they warm up.
+    /// Slow start of endpoints that warm up.
     pub slow_start: SlowStart,
 }
 
-/// Engines set apart for streams that suffer from long prompts beside them.
+/// Engines reserved for streams that are sensitive to the prefill of long prompts.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct LanePolicy {
-    /// Engines are set apart at all.
+    /// Whether engines are reserved at all.
     pub enabled: bool,
-    /// A route is quick when it allows at most this part of the longest pause of its service.
+    /// A route is quick if its pause target is at most this share of the longest one of its service.
     pub quick: f64,
-    /// A route with the shortest pauses of its service is quick as well when the pause that an engine makes which
-    /// reads all the time is at least this part of what the route allows.
+    /// A route with the shortest pause target of its service is quick, too, if the pauses at an engine under constant
+    /// prefill are at least this share of the target.
     pub crowded: f64,
-    /// Part of the quick lane's slots that is used before the lane grows.
+    /// Share of the quick lane's slots in use above which the lane grows.
     pub fill: f64,
-    /// The quick lane never takes more than this part of the engines.
+    /// Largest share of the engines in the quick lane.
     pub largest: f64,
-    /// Part of the engines that the quick lane has at least: the loss of one must not take a large part of the quick
-    /// streams with it.
+    /// Smallest share of the engines in the quick lane: the loss of one engine must not end a large share of the quick
+    /// streams.
     pub smallest: f64,
-    /// Part of an engine's slots: a quick stream goes to the other engines when the best of its own has as many in use;
-    /// 0 for never.
+    /// Quick streams overflow to the other lane if the best engine of their own has at least this share of its slots in
+    /// use; 0 disables overflow.
     pub overflow: f64,
 }
 
@@ -89,36 +89,35 @@
     }
 }
 
-/// The choice among engines: the one with the least to read, all else counted as prompt tokens.
+/// Choice among engines. The costs are in prompt tokens to process before a request.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct ChoicePolicy {
-    /// Requests of a session go where its part of the prompt is likely to be kept.
+    /// Session affinity: requests prefer engines that are likely to have the session's prompt parts cached.
     pub sessions: bool,
-    /// Each request under way at an engine counts as this many prompt tokens ahead.
+    /// Cost of each request in flight at an engine.
     pub call_cost: u32,
-    /// An engine whose memory would run out counts as this many prompt tokens behind: it would preempt its newest request.
+    /// Cost of an engine whose KV cache would overflow, so that it would preempt its newest request.
     pub memory_cost: u32,
-    /// Each token of its session's part that an engine lacks counts as this many prompt tokens ahead there: it is read
-    /// again, for which the engine's other requests wait as well, or taken over, and its copy takes others' place.
+    /// Cost of each token of the session's prompt parts that an engine does not have cached: its prefill delays the
+    /// engine's other requests, and a fetched copy evicts other entries.
     pub read_again: u32,
-    /// An engine takes over a session's part of at least this many tokens from the engine that keeps it, where that is
-    /// quicker than reading it; 0 for never. Setting up a move takes some ms, in which about as many are read.
+    /// An engine fetches at least this many cached tokens of a session from another engine, if that is faster than
+    /// prefill; 0 disables fetching. Fewer tokens are processed in the time that it takes to set up a transfer.
     pub fetch_least: u32,
-    /// What an engine lacks never counts for more than the reading of this part of the route's target, so that a
-    /// request leaves its engines before it would come late there.
+    /// Upper bound of the cost of missing tokens, as the tokens processed in this share of the route's target, so that
+    /// a request leaves its session's engines before it would miss the target there.
     pub again_most: f64,
-    /// An engine of another hall counts as this many prompt tokens behind for a quick stream: a packet lost between
-    /// halls is sent again after 200 ms, about the pause that the stream allows.
+    /// Cost of an engine in another hall for a quick stream: a packet lost between halls is retransmitted after 200 ms,
+    /// about the pause target of such a stream.
     pub far_cost: u32,
-    /// Engines drawn by lot beside those of a request's session.
+    /// Number of random engines to compare with those of a request's session.
     pub drawn: usize,
-    /// Quick streams expected to have at least this many tokens, which take about a second, have their memory copied
-    /// while they run: the longer one runs, the likelier its engine ends under it, and the more is lost with it; 0 for
-    /// no copies.
+    /// The KV cache of quick streams with at least this many expected tokens is copied to a backup while they run, as
+    /// the risk and the cost of losing the engine grow with the length; 0 disables copies.
     pub copied: u32,
-    /// They are copied only where the link moves tokens this many times as fast as engines read them: a copy takes part of
-    /// the links for all streams, and pays for the few whose engine ends.
+    /// Copies are made only if transfer is this many times as fast as prefill: every copy uses the links, and few
+    /// streams need theirs.
     pub copy_speed: f64,
 }
 
@@ -139,24 +138,23 @@
     }
 }
 
-/// What is refused, left out and sent again.
+/// Admission control, ejection and retries.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 #[allow(clippy::struct_excessive_bools, reason = "each switches one mechanism")]
 pub struct GuardPolicy {
-    /// Streams of the lowest rank are refused at once where they would wait at the best engine for more than this part of
-    /// their target; 0 for never.
+    /// Streams of the lowest priority are rejected at once if their expected wait at the best engine exceeds this
+    /// multiple of their target; 0 disables rejection.
     pub hopeless: f64,
-    /// A stream that waits for its first event is patient for this many times the wait expected at its engine, beside what
-    /// all are.
+    /// A stream's timeout for its first event is extended by this multiple of the expected wait at its engine.
     pub patience: f64,
-    /// Endpoints that fail are left out for a while, by this instance's own outcomes.
+    /// Endpoints are ejected for a while after failures that this instance observes.
     pub ejection: bool,
-    /// Endpoints that fail far more than the others are left out, by the outcomes of all instances.
+    /// Endpoints are ejected if they fail far more often than others, by the outcomes of all instances.
     pub suspects: bool,
-    /// What may be repeated and is left without an answer goes to another endpoint.
+    /// Retryable requests without a timely answer are sent to another endpoint.
     pub impatience: bool,
-    /// Contents under which endpoints ended one after the other are refused.
+    /// Request contents under which several endpoints crashed are rejected.
     pub quarantine: bool,
 }
 
@@ -166,45 +164,45 @@
     }
 }
 
-/// Longest time in seconds for which demand may be remembered: a day.
-const HOLD_MOST: f64 = 86_400.0;
-/// Largest factor of a time or speed that can be meant.
-const FACTOR_MOST: f64 = 1000.0;
+/// Longest time for which demand is held, in seconds.
+const MAX_HOLD_SECONDS: f64 = 86_400.0;
+/// Largest factor of a time or speed.
+const MAX_FACTOR: f64 = 1000.0;
 
-/// Largest number of instances that can be meant.
-const COUNT_MOST: usize = 100_000;
-/// With fewer live instances all ask the leader: with one or two there is none to be a relay beside it.
-const DIRECT_LEAST: usize = 3;
-/// Periods of 100 ms in a question to a relay, at most: a proof of 1.5 s is wanted where a request is told that its route
-/// or key does not exist, and half of that may pass between two questions.
-const PERIODS_MOST: f64 = 7.0;
+/// Largest number of instances.
+const MAX_COUNT: usize = 100_000;
+/// Smallest number of live instances for which relays can be used: with fewer, none is left beside the leader.
+const MIN_DIRECT: usize = 3;
+/// Longest interval between polls of a relay, in periods of 100 ms: at most half of the 1.5 s for which a proof is valid
+/// that a route or key does not exist.
+const MAX_PERIODS: f64 = 7.0;
 
-/// Checks that counts lie between their least and [`COUNT_MOST`].
+/// Checks that counts lie between their minimum and [`MAX_COUNT`].
 fn check_counts(counts: &[(&'static str, usize, usize)]) -> Result<(), Error> {
-    for &(key, count, least) in counts {
-        if !(least..=COUNT_MOST).contains(&count) {
-            return Err(Error::Value { key, value: count as f64, least: least as f64, most: COUNT_MOST as f64 });
+    for &(key, count, min) in counts {
+        if !(min..=MAX_COUNT).contains(&count) {
+            return Err(Error::Value { key, value: count as f64, min: min as f64, max: MAX_COUNT as f64 });
         }
     }
     Ok(())
 }
 
-/// Checks that figures lie between 0 and `most`.
-fn check_all(figures: &[(&'static str, f64)], most: f64) -> Result<(), Error> {
-    let least = 0.0;
-    for &(key, value) in figures {
-        if !(least..=most).contains(&value) {
-            return Err(Error::Value { key, value, least, most });
+/// Checks that values lie between 0 and `max`.
+fn check_values(values: &[(&'static str, f64)], max: f64) -> Result<(), Error> {
+    let min = 0.0;
+    for &(key, value) in values {
+        if !(min..=max).contains(&value) {
+            return Err(Error::Value { key, value, min, max });
         }
     }
     Ok(())
 }
 
 impl Policy {
-    /// Reads a policy from a TOML file; what it does not name has its default.
+    /// Reads a policy from a TOML file. Missing settings have their defaults.
     ///
     /// # Errors
-    /// When the file cannot be read, names an unknown field or holds a figure that cannot be used.
+    /// When the file cannot be read, has an unknown field or has a value out of range.
     pub fn read(path: &Path) -> Result<Policy, Error> {
         let text = std::fs::read_to_string(path).map_err(|source| Error::Read { path: path.to_owned(), source })?;
         let policy: Policy = toml::from_str(&text).map_err(|source| Error::Parse { path: path.to_owned(), source })?;
@@ -229,17 +227,17 @@
             ("guard.hopeless", self.guard.hopeless),
             ("guard.patience", self.guard.patience),
         ];
-        check_all(&shares, 1.0)?;
-        check_all(&factors, FACTOR_MOST)?;
-        check_all(&[("scaling.pressing", self.scaling.pressing)], FACTOR_MOST)?;
-        check_all(&[("scaling.hold", self.scaling.hold)], HOLD_MOST)?;
+        check_values(&shares, 1.0)?;
+        check_values(&factors, MAX_FACTOR)?;
+        check_values(&[("scaling.pressing", self.scaling.pressing)], MAX_FACTOR)?;
+        check_values(&[("scaling.hold", self.scaling.hold)], MAX_HOLD_SECONDS)?;
         check_counts(&[
-            ("relays.direct", self.relays.direct, DIRECT_LEAST),
+            ("relays.direct", self.relays.direct, MIN_DIRECT),
             ("relays.askers", self.relays.askers, 1),
             ("relays.least", self.relays.least, 1),
             ("slow_start.senders", self.slow_start.senders, 1),
         ])?;
         check_counts(&[("relays.periods", self.relays.periods as usize, 1)])?;
-        check_all(&[("relays.periods", f64::from(self.relays.periods))], PERIODS_MOST)
+        check_values(&[("relays.periods", f64::from(self.relays.periods))], MAX_PERIODS)
     }
 }
