--- a/crates/rudder-gateway/src/choose/candidates.rs
+++ b/crates/rudder-gateway/src/choose/candidates.rs
@@ -92,7 +92,7 @@
         // Endpoints that this instance must not use are in no lane.
         let is_usable = |registration: &&Arc<Registration>| {
             inputs.placement.is_open(&registration.hall)
-                && inputs.allowance(registration) != Allowance::Barred
+                && inputs.allowance(registration) != Allowance::Denied
                 && !inputs.backoff.is_blocked(&registration.endpoint, inputs.now)
                 && inputs.limits.retry_at(&registration.endpoint, inputs.now).is_none()
         };
--- a/crates/rudder-gateway/tests/placement.rs
+++ b/crates/rudder-gateway/tests/placement.rs
@@ -174,7 +174,7 @@
         scene.known.slow_start.record_hall_return(&"a".into(), scene.known.now);
         let warm_up = Some(WarmUp { span: SPAN, rate: RATE });
         let allowance_at = |scene: &Scene, at: Moment| scene.known.slow_start.allowance(&scene.endpoints[0], warm_up, &scene.known.policy.slow_start, at);
-        assert!(matches!(allowance_at(&scene, scene.known.now + SPAN - SECOND / 10), Allowance::Within(_)));
+        assert!(matches!(allowance_at(&scene, scene.known.now + SPAN - SECOND / 10), Allowance::Limited(_)));
         assert_eq!(allowance_at(&scene, scene.known.now + SPAN), Allowance::Unlimited);
     };
 }
@@ -223,8 +223,8 @@
     let cold = Registration { warming: true, ..endpoints().remove(0) };
     let warm_up = Some(WarmUp { span: SPAN, rate: RATE });
     let policy = Policy::default().slow_start;
-    assert_eq!(slow_start.allowance(&cold, warm_up, &policy, now + SECOND), Allowance::Barred);
-    assert!(matches!(slow_start.allowance(&cold, warm_up, &policy, now + SECOND * 2), Allowance::Within(_)));
+    assert_eq!(slow_start.allowance(&cold, warm_up, &policy, now + SECOND), Allowance::Denied);
+    assert!(matches!(slow_start.allowance(&cold, warm_up, &policy, now + SECOND * 2), Allowance::Limited(_)));
     assert_eq!(slow_start.allowance(&cold, None, &policy, now), Allowance::Unlimited, "its service names no bound");
 }
 
