--- a/crates/rudder-gateway/src/placement.rs
+++ b/crates/rudder-gateway/src/placement.rs
@@ -1,4 +1,4 @@
-//! Where requests may go: halls that are evacuated get nothing, and what is bound to regions stays in them.
+//! Placement constraints: evacuated halls get no requests, and requests may be restricted to regions.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -7,10 +7,10 @@
 
 use crate::{Route, plan::Organisation};
 
-/// The regions in which a request may be run and its prompt be kept; `None` where all are.
+/// The regions in which a request may run and its prompt be cached; `None` for all regions.
 pub type Residency = Option<Arc<[RegionId]>>;
 
-/// Halls, the regions that they lie in, and those that are evacuated.
+/// Regions of the halls, and evacuated halls.
 #[derive(Debug, Default)]
 pub struct Placement {
     regions: BTreeMap<HallId, RegionId>,
@@ -18,51 +18,54 @@
 }
 
 impl Placement {
-    /// Halls that lie in these regions.
+    /// Creates it from the region of each hall.
     pub fn new(regions: BTreeMap<HallId, RegionId>) -> Placement {
         Placement { regions, evacuations: Arc::default() }
     }
 
-    /// Sets which halls are evacuated. Returns those that were and are no more.
+    /// Sets which halls are evacuated. Returns those whose evacuation has ended.
     pub fn set_evacuations(&mut self, evacuations: Arc<Evacuations>) -> Vec<HallId> {
         let before = std::mem::replace(&mut self.evacuations, evacuations);
-        let is_back = |hall: &&HallId| {
-            // One that has just started knows no earlier state, and so takes all that ever came back for newly back.
+        let has_returned = |hall: &&HallId| {
+            // Without an earlier state, every hall that ever returned counts as newly returned.
             before.index() == 0 || before.is_evacuated(hall)
         };
-        self.evacuations.returned().filter(is_back).cloned().collect()
+        self.evacuations.returned().filter(has_returned).cloned().collect()
     }
 
-    /// True where the endpoints of `hall` may get requests.
+    /// Whether `hall` is in use, that is, not evacuated.
     pub fn is_open(&self, hall: &HallId) -> bool {
         !self.evacuations.is_evacuated(hall)
     }
 
-    /// Halls that are evacuated.
+    /// Number of evacuated halls.
     pub fn evacuated(&self) -> usize {
         self.evacuations.evacuated().count()
     }
 
-    /// True where an operator may name `hall`: it is one of the deployment, where the settings tell them.
+    /// Whether `hall` is part of the deployment. If the settings name no halls, all names are accepted.
     pub fn knows(&self, hall: &HallId) -> bool {
         self.regions.is_empty() || self.regions.contains_key(hall)
     }
 
-    /// The region of `hall`, where it is known.
+    /// The region of `hall`, if known.
     pub fn region_of(&self, hall: &str) -> Option<&RegionId> {
         self.regions.get(hall)
     }
 
-    /// True where `hall` lies in one of the regions of a `residency`. One whose region is not known does not.
+    /// Whether `hall` lies in one of the regions of `residency`. A hall of unknown region does not, unless there is no
+    /// restriction.
     pub fn allows(&self, residency: Option<&[RegionId]>, hall: &HallId) -> bool {
         let Some(residency) = residency else { return true };
         self.regions.get(hall).is_some_and(|region| residency.contains(region))
     }
 }
 
-/// The regions that a request of an organisation on a route is bound to: both bind where both name any.
+/// The regions that a request is restricted to by its route and its organisation: the intersection if both have any.
 pub fn residency_of(route: &Route, organisation: Option<&Organisation>) -> Residency {
-    let of_org = organisation.and_then(|organisation| organisation.residency.clone());
-    let (Some(route), Some(org)) = (&route.residency, &of_org) else { return route.residency.clone().or(of_org) };
-    Some(route.iter().filter(|region| org.contains(region)).cloned().collect())
+    let of_organisation = organisation.and_then(|organisation| organisation.residency.clone());
+    let (Some(of_route), Some(allowed)) = (&route.residency, &of_organisation) else {
+        return route.residency.clone().or(of_organisation);
+    };
+    Some(of_route.iter().filter(|region| allowed.contains(region)).cloned().collect())
 }
