--- a/crates/rudder-gateway/src/loads.rs
+++ b/crates/rudder-gateway/src/loads.rs
@@ -1,4 +1,4 @@
-//! Work under way at endpoints: what this instance has sent, and what the others told of theirs.
+//! In-flight work at endpoints: that of this instance, and that reported by the other instances.
 
 use std::{
     cell::RefCell,
@@ -10,29 +10,30 @@
 use rudder_core::peer::Load;
 use rudder_model::{EndpointId, EndpointTag, id};
 
-use crate::recent::{Recent, Tally};
+use crate::recent::{RecentOutcomes, Tally};
 
-/// Work of this instance at all endpoints, and the last word of the others.
+/// In-flight work and recent outcomes at all endpoints.
 #[derive(Debug, Default)]
 pub struct EndpointLoads {
     own: HashMap<EndpointId, Load>,
+    /// The sum of the other instances' last reports.
     others: HashMap<EndpointTag, Load>,
-    recent: Recent,
+    recent: RecentOutcomes,
 }
 
 /// Work at one endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Work {
-    /// Requests sent and not yet ended.
+    /// Requests in flight.
     pub calls: u32,
-    /// Prompt tokens whose first output has not come.
+    /// Prompt tokens awaiting prefill, that is, of requests without output.
     pub unread: u32,
-    /// Tokens of memory that the requests may need.
+    /// KV cache tokens that the requests may need.
     pub held: u32,
 }
 
 impl EndpointLoads {
-    /// All work at `endpoint`, as far as is known here.
+    /// All known work at `endpoint`.
     pub fn at(&self, endpoint: &str) -> Work {
         let mut work = Work::default();
         for load in [self.own.get(endpoint), self.others.get(&id::endpoint_tag(endpoint))].into_iter().flatten() {
@@ -43,7 +44,7 @@
         work
     }
 
-    /// Records what all other instances together have under way.
+    /// Records the sum of the other instances' loads.
     pub fn set_others(&mut self, loads: &[Load]) {
         self.others = loads.iter().map(|load| (load.endpoint, load.clone())).collect();
     }
@@ -53,7 +54,7 @@
         self.recent.note(endpoint, failed, now);
     }
 
-    /// What ended at `endpoint` of late, here and elsewhere.
+    /// Recent outcomes at `endpoint`, at this and the other instances.
     pub fn tally(&self, endpoint: &str, now: Moment) -> Tally {
         let mut tally = self.recent.at(endpoint, now);
         if let Some(load) = self.others.get(&id::endpoint_tag(endpoint)) {
@@ -62,22 +63,22 @@
         tally
     }
 
-    /// This instance's work, to tell the others.
+    /// This instance's work, to be reported to the other instances.
     pub fn to_loads(&mut self, now: Moment) -> Vec<Load> {
         self.recent.age(now);
-        let mut names: HashSet<&EndpointId> = self.recent.endpoints().collect();
-        names.extend(self.own.iter().filter(|(_, load)| load.calls > 0).map(|(endpoint, _)| endpoint));
+        let mut endpoints: HashSet<&EndpointId> = self.recent.endpoints().collect();
+        endpoints.extend(self.own.iter().filter(|(_, load)| load.calls > 0).map(|(endpoint, _)| endpoint));
         let to_load = |endpoint: &EndpointId| {
             let own = self.own.get(endpoint).cloned().unwrap_or_else(|| Load::none(id::endpoint_tag(endpoint)));
             let Tally { ended, failed } = self.recent.at(endpoint, now);
             Load { ended, failed, ..own }
         };
-        let mut loads: Vec<Load> = names.into_iter().map(to_load).collect();
+        let mut loads: Vec<Load> = endpoints.into_iter().map(to_load).collect();
         loads.sort_by_key(|load| load.endpoint);
         loads
     }
 
-    /// Drops endpoints that are no longer known and have no work.
+    /// Drops endpoints that are unknown and have no work.
     pub fn retain(&mut self, known: impl Fn(&EndpointId) -> bool) {
         self.own.retain(|endpoint, load| load.calls > 0 || known(endpoint));
     }
@@ -87,7 +88,7 @@
     }
 }
 
-/// One request under way at an endpoint; its end, however it comes, removes it from the loads.
+/// A request in flight at an endpoint. It is removed from the loads on drop.
 #[derive(Debug)]
 pub struct InFlight {
     loads: Rc<RefCell<EndpointLoads>>,
@@ -97,7 +98,7 @@
 }
 
 impl InFlight {
-    /// Counts a request of `unread` prompt tokens that needs up to `held` tokens of memory.
+    /// Counts a request with `unread` prompt tokens to process that needs up to `held` tokens of the KV cache.
     pub fn start(loads: &Rc<RefCell<EndpointLoads>>, endpoint: &EndpointId, unread: u32, held: u32) -> InFlight {
         let mut borrowed = loads.borrow_mut();
         let load = borrowed.entry(endpoint);
@@ -108,7 +109,7 @@
         InFlight { loads: loads.clone(), endpoint: endpoint.clone(), unread, held }
     }
 
-    /// Records that the first output came, so the prompt has been read.
+    /// Records the first output, so that the prompt has been processed.
     pub fn note_read(&mut self) {
         let unread = std::mem::take(&mut self.unread);
         let mut loads = self.loads.borrow_mut();
--- a/crates/rudder-gateway/src/recent.rs
+++ b/crates/rudder-gateway/src/recent.rs
@@ -1,7 +1,7 @@
-//! Outcomes at endpoints over the last seconds, and the endpoints that stand out by them.
+//! Outcomes at endpoints over the last seconds, and the detection of outliers.
 //!
-//! One of many instances sends few requests to one endpoint and would learn slowly that it fails, each by its own
-//! lost requests. Outcomes are therefore told with the work under way, and judged together.
+//! Each of many instances sends few requests to an endpoint and would detect its failure late. Outcomes are therefore
+//! exchanged with the load reports and evaluated together.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -11,29 +11,29 @@
 use rudder_clock::Moment;
 use rudder_model::EndpointId;
 
-/// Seconds that count, the current one included.
+/// Window over which outcomes are counted, in seconds, including the current one.
 pub const SPAN: u64 = 5;
-/// Failures that make an endpoint suspect, at least.
-const LEAST: u32 = 3;
-/// Share of failures that makes it suspect, at least.
-const FAILING: f64 = 0.25;
-/// The share must be this many times that of the endpoints that are not suspect.
-const TIMES: f64 = 3.0;
-/// Part of a service's endpoints that may be suspect: were more left out, the rest would not bear the load.
-const MOST: f64 = 0.4;
+/// Minimum number of failures of a suspect.
+const MIN_FAILURES: u32 = 3;
+/// Minimum failure rate of a suspect.
+const MIN_FAILURE_RATE: f64 = 0.25;
+/// Minimum ratio of the failure rate of a suspect to that of the other endpoints.
+const MIN_RATIO: f64 = 3.0;
+/// Maximum share of a service's endpoints that may be suspect, so that the others are not overloaded.
+const MAX_SUSPECT_SHARE: f64 = 0.4;
 
-/// Requests that ended at an endpoint.
+/// Counts of requests that ended at an endpoint.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
     /// All of them.
     pub ended: u32,
-    /// Those that failed by the endpoint.
+    /// Those that failed due to the endpoint.
     pub failed: u32,
 }
 
 impl Tally {
-    /// Share of failures.
-    pub fn share(self) -> f64 {
+    /// Failure rate.
+    pub fn failure_rate(self) -> f64 {
         f64::from(self.failed) / f64::from(self.ended.max(1))
     }
 
@@ -45,81 +45,82 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Slot {
+struct Bucket {
     second: u64,
     tally: Tally,
 }
 
-/// This instance's outcomes at all endpoints.
+/// Recent outcomes of this instance at all endpoints, in buckets of one second.
 #[derive(Debug)]
-pub struct Recent {
-    began: Moment,
-    slots: HashMap<EndpointId, [Slot; SPAN as usize]>,
+pub struct RecentOutcomes {
+    started: Moment,
+    buckets: HashMap<EndpointId, [Bucket; SPAN as usize]>,
 }
 
-impl Default for Recent {
+impl Default for RecentOutcomes {
     fn default() -> Self {
-        Recent { began: Moment::now(), slots: HashMap::new() }
+        RecentOutcomes { started: Moment::now(), buckets: HashMap::new() }
     }
 }
 
-impl Recent {
+impl RecentOutcomes {
     /// Records the end of a request.
     pub fn note(&mut self, endpoint: &EndpointId, failed: bool, now: Moment) {
         let second = self.second(now);
-        let slots = self.slots.entry(endpoint.clone()).or_default();
-        let slot = &mut slots[(second % SPAN) as usize];
-        if slot.second != second {
-            *slot = Slot { second, tally: Tally::default() };
+        let buckets = self.buckets.entry(endpoint.clone()).or_default();
+        let bucket = &mut buckets[(second % SPAN) as usize];
+        if bucket.second != second {
+            *bucket = Bucket { second, tally: Tally::default() };
         }
-        slot.tally.add(Tally { ended: 1, failed: u32::from(failed) });
+        bucket.tally.add(Tally { ended: 1, failed: u32::from(failed) });
     }
 
-    /// What ended at `endpoint` of late.
+    /// Requests that recently ended at `endpoint`.
     pub fn at(&self, endpoint: &str, now: Moment) -> Tally {
         let oldest = self.second(now).saturating_sub(SPAN - 1);
         let mut sum = Tally::default();
-        for slot in self.slots.get(endpoint).into_iter().flatten() {
-            if slot.second >= oldest {
-                sum.add(slot.tally);
+        for bucket in self.buckets.get(endpoint).into_iter().flatten() {
+            if bucket.second >= oldest {
+                sum.add(bucket.tally);
             }
         }
         sum
     }
 
-    /// Endpoints at which anything ended of late.
+    /// Endpoints with recent outcomes, or with outcomes not yet dropped by [`RecentOutcomes::age`].
     pub fn endpoints(&self) -> impl Iterator<Item = &EndpointId> {
-        self.slots.keys()
+        self.buckets.keys()
     }
 
-    /// Drops endpoints at which nothing has ended of late.
+    /// Drops endpoints without recent outcomes.
     pub fn age(&mut self, now: Moment) {
         let oldest = self.second(now).saturating_sub(SPAN - 1);
-        self.slots.retain(|_, slots| slots.iter().any(|slot| slot.tally.ended > 0 && slot.second >= oldest));
+        self.buckets
+            .retain(|_, buckets| buckets.iter().any(|bucket| bucket.tally.ended > 0 && bucket.second >= oldest));
     }
 
     fn second(&self, now: Moment) -> u64 {
-        // The first second counts as 1, so that an empty slot belongs to none.
-        now.saturating_duration_since(self.began).as_secs() + 1
+        // Counts from 1, so that the empty bucket 0 is never current.
+        now.saturating_duration_since(self.started).as_secs() + 1
     }
 }
 
-/// The endpoints of one service that fail far more than the others do. Where most fail, it is the requests or this
-/// side, and none is suspect.
+/// Finds the endpoints of a service that fail far more often than the others. If most of them fail, the cause is
+/// likely the requests or this side, and none is suspect.
 pub fn suspects(tallies: &[(EndpointId, Tally)]) -> HashSet<EndpointId> {
     let used: Vec<&(EndpointId, Tally)> = tallies.iter().filter(|(_, tally)| tally.ended > 0).collect();
-    let fails = |tally: &Tally| tally.failed >= LEAST && tally.share() >= FAILING;
+    let is_failing = |tally: &Tally| tally.failed >= MIN_FAILURES && tally.failure_rate() >= MIN_FAILURE_RATE;
     let mut others = Tally::default();
-    for (_, tally) in used.iter().filter(|(_, tally)| !fails(tally)) {
+    for (_, tally) in used.iter().filter(|(_, tally)| !is_failing(tally)) {
         others.add(*tally);
     }
-    let bound = FAILING.max(others.share() * TIMES);
+    let min_rate = MIN_FAILURE_RATE.max(others.failure_rate() * MIN_RATIO);
     let mut failing: Vec<&&(EndpointId, Tally)> =
-        used.iter().filter(|(_, tally)| fails(tally) && tally.share() >= bound).collect();
+        used.iter().filter(|(_, tally)| is_failing(tally) && tally.failure_rate() >= min_rate).collect();
     if failing.len() * 2 > used.len() {
         return HashSet::new();
     }
     failing.sort_by_key(|(endpoint, tally)| (std::cmp::Reverse(tally.failed), Arc::clone(endpoint)));
-    failing.truncate((tallies.len() as f64 * MOST) as usize);
+    failing.truncate((tallies.len() as f64 * MAX_SUSPECT_SHARE) as usize);
     failing.into_iter().map(|(endpoint, _)| endpoint.clone()).collect()
 }
--- a/crates/rudder-gateway/tests/policy.rs
+++ b/crates/rudder-gateway/tests/policy.rs
@@ -17,7 +17,7 @@
     plan::{Engine, Fault, Limits, Organisation, Share},
     policy::LanePolicy,
     prefill::PrefillSpeeds,
-    recent::{Recent, Tally, suspects},
+    recent::{RecentOutcomes, Tally, suspects},
     stream::Events,
 };
 use rudder_model::{EndpointId, id};
@@ -131,7 +131,7 @@
 
 #[test]
 fn outcomes_count_for_five_seconds() {
-    let mut recent = Recent::default();
+    let mut recent = RecentOutcomes::default();
     let (endpoint, now): (Arc<str>, _) = ("e-1".into(), Moment::now());
     recent.note(&endpoint, true, now);
     recent.note(&endpoint, false, now + Duration::from_secs(2));
