--- a/crates/rudder-gateway/src/roster.rs
+++ b/crates/rudder-gateway/src/roster.rs
@@ -1,4 +1,4 @@
-//! Endpoints by service, as traffic looks them up: built anew when the registry changes, not for each request.
+//! An index of all endpoints by service, rebuilt when the registry changes.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -8,17 +8,17 @@
 use rudder_core::{Phase, Registration};
 use rudder_model::EndpointId;
 
-/// All endpoints known.
+/// All known endpoints.
 #[derive(Debug, Default)]
 pub struct Roster {
     services: HashMap<Arc<str>, Vec<Arc<Registration>>>,
-    /// All endpoints, in the order of their ids: the registry gives them so, and a set of thousands takes far longer to build.
+    /// All endpoints, sorted by id. The registry yields them sorted, so this is faster to build than a set.
     all: Vec<Arc<Registration>>,
     replaced: HashSet<EndpointId>,
 }
 
 impl Roster {
-    /// The roster of these endpoints.
+    /// Builds the roster of these endpoints.
     pub fn new(endpoints: impl IntoIterator<Item = Arc<Registration>>) -> Roster {
         let mut roster = Roster::default();
         for registration in endpoints {
@@ -29,7 +29,7 @@
             let of_service = roster.services.entry(registration.service.clone()).or_default();
             of_service.push(registration);
         }
-        if !roster.all.is_sorted_by_key(|held| &held.endpoint) {
+        if !roster.all.is_sorted_by_key(|registration| &registration.endpoint) {
             roster.all.sort_unstable_by(|one, other| one.endpoint.cmp(&other.endpoint));
         }
         roster
@@ -45,24 +45,24 @@
         self.services.values().map(Vec::as_slice)
     }
 
-    /// Lives that a later one of the same name has replaced.
+    /// Endpoints that were replaced by a later start of the same name.
     pub fn replaced(&self) -> &HashSet<EndpointId> {
         &self.replaced
     }
 
     /// The ids of all endpoints.
     pub fn endpoints(&self) -> impl Iterator<Item = &EndpointId> {
-        self.all.iter().map(|held| &held.endpoint)
+        self.all.iter().map(|registration| &registration.endpoint)
     }
 
-    /// True where the endpoint is known.
+    /// Whether the endpoint is known.
     pub fn knows(&self, endpoint: &EndpointId) -> bool {
         self.get(endpoint).is_some()
     }
 
-    /// The endpoint of this id.
+    /// The endpoint with this id.
     pub fn get(&self, endpoint: &EndpointId) -> Option<&Arc<Registration>> {
-        let at = self.all.binary_search_by(|held| held.endpoint.cmp(endpoint)).ok()?;
-        Some(&self.all[at])
+        let index = self.all.binary_search_by(|registration| registration.endpoint.cmp(endpoint)).ok()?;
+        Some(&self.all[index])
     }
 }
