--- a/crates/rudder-gateway/src/buffers.rs
+++ b/crates/rudder-gateway/src/buffers.rs
@@ -1,9 +1,9 @@
-//! Bytes that the process holds for others: bodies that have been read from one side and not yet been taken by the other.
+//! Memory quota for buffered bodies: bytes received from one side that the other side has not consumed yet.
 //!
-//! Callers and endpoints may read slowly or not at all. What is held for all of them is bounded, as a part of the memory
-//! that the process may take. At the bound, endpoints' answers are read no further until something is taken, and
-//! requests whose body does not fit are refused. Where others have to wait, the caller that has left its answer unread for
-//! longest is cut off: were it not, a hundred callers that read nothing would keep all others from their answers.
+//! Callers and endpoints may read slowly or not at all, so the total is limited to a share of the memory available to the
+//! process. At the limit, reading from endpoints pauses until memory is released, and requests whose body does not fit
+//! are rejected. While others wait for memory, the caller whose answer has been unread for longest is disconnected, so
+//! that stalled callers cannot block all others.
 
 use std::{
     collections::BTreeMap,
@@ -20,237 +20,236 @@
 use rudder_clock::Moment;
 use tokio::{sync::Notify, time::timeout};
 
-/// Part of the process's memory that may be held so: the rest is for the state, connections, links and log lines.
-const PART: usize = 4;
-/// Memory that a process is taken to have where its settings do not tell.
-const USUAL_MEMORY: usize = 128 << 20;
-/// An answer may be left unread for this long where others wait: a caller that reads takes a megabyte in less.
-const UNREAD_MOST: Duration = Duration::from_secs(1);
-/// Time between looks for such answers.
-const LOOK: Duration = Duration::from_millis(100);
-/// Looks after which one that waits gives up itself: what is held is neither taken nor left unread, but read by halves.
-const LOOKS_MOST: u32 = 40;
-
-/// Ends a caller's connection.
+/// Divisor of the process's memory that gives the quota. The rest is for state, connections, links and logs.
+const MEMORY_DIVISOR: usize = 4;
+/// Memory assumed for the process if the settings do not name it, in bytes.
+const DEFAULT_MEMORY: usize = 128 << 20;
+/// Longest time that an answer may stay unread while others wait for memory.
+const MAX_UNREAD: Duration = Duration::from_secs(1);
+/// Interval between checks for such answers.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Number of checks after which a waiting reservation fails, if all callers read, but too slowly.
+const MAX_CHECKS: u32 = 40;
+
+/// Signal that closes a caller's connection.
 pub type Disconnect = Arc<Notify>;
 
-/// What is held, and how much may be.
+/// The quota and its use.
 #[derive(Debug)]
 pub struct BufferQuota {
-    most: usize,
-    held: AtomicUsize,
+    limit: usize,
+    used: AtomicUsize,
     peak: AtomicUsize,
-    freed: Notify,
-    count: AtomicU64,
-    /// Answers that callers have not taken, in the order in which they became ready.
+    released: Notify,
+    next_id: AtomicU64,
+    /// Answers that callers have not read, in the order of their completion.
     unread: Mutex<BTreeMap<u64, Answer>>,
 }
 
-/// An answer that its caller has not taken.
+/// An answer that its caller has not read.
 #[derive(Debug)]
 struct Answer {
     since: Moment,
-    cut: Disconnect,
+    disconnect: Disconnect,
 }
 
 impl BufferQuota {
-    /// The buffers of a process that may take `memory` bytes.
+    /// The quota of a process that may use `memory` bytes.
     pub fn new(memory: Option<usize>) -> Arc<BufferQuota> {
         Arc::new(BufferQuota {
-            most: memory.unwrap_or(USUAL_MEMORY) / PART,
-            held: AtomicUsize::new(0),
+            limit: memory.unwrap_or(DEFAULT_MEMORY) / MEMORY_DIVISOR,
+            used: AtomicUsize::new(0),
             peak: AtomicUsize::new(0),
-            freed: Notify::new(),
-            count: AtomicU64::new(0),
+            released: Notify::new(),
+            next_id: AtomicU64::new(0),
             unread: Mutex::default(),
         })
     }
 
-    /// Bytes held.
+    /// Bytes in use.
     pub fn held(&self) -> usize {
-        self.held.load(Ordering::Relaxed)
+        self.used.load(Ordering::Relaxed)
     }
 
-    /// Most bytes that were ever held.
+    /// Largest number of bytes that were ever in use.
     pub fn peak(&self) -> usize {
         self.peak.load(Ordering::Relaxed)
     }
 
-    /// Most bytes that may be held.
+    /// The quota, in bytes.
     pub fn most(&self) -> usize {
-        self.most
+        self.limit
     }
 
     fn try_add(&self, bytes: usize) -> bool {
         let next = self.held() + bytes;
-        if next > self.most {
+        if next > self.limit {
             return false;
         }
-        self.held.store(next, Ordering::Relaxed);
+        self.used.store(next, Ordering::Relaxed);
         self.peak.fetch_max(next, Ordering::Relaxed);
         true
     }
 
     fn remove(&self, bytes: usize) {
-        self.held.fetch_sub(bytes, Ordering::Relaxed);
-        self.freed.notify_waiters();
+        self.used.fetch_sub(bytes, Ordering::Relaxed);
+        self.released.notify_waiters();
     }
 
-    fn note_unread(&self, cut: Disconnect) -> u64 {
-        let number = self.count.fetch_add(1, Ordering::Relaxed);
-        let answer = Answer { since: Moment::now(), cut };
-        self.unread.lock().unwrap_or_else(PoisonError::into_inner).insert(number, answer);
-        number
+    fn add_unread(&self, disconnect: Disconnect) -> u64 {
+        let id = self.next_id.fetch_add(1, Ordering::Relaxed);
+        let answer = Answer { since: Moment::now(), disconnect };
+        self.unread.lock().unwrap_or_else(PoisonError::into_inner).insert(id, answer);
+        id
     }
 
-    fn note_taken(&self, number: u64) {
-        self.unread.lock().unwrap_or_else(PoisonError::into_inner).remove(&number);
+    fn remove_unread(&self, id: u64) {
+        self.unread.lock().unwrap_or_else(PoisonError::into_inner).remove(&id);
     }
 
-    /// Cuts off the caller that has left its answer unread for longest, where that is too long.
-    fn cut_oldest(&self) {
+    /// Disconnects the caller whose answer has been unread for longest, if that exceeds the limit.
+    fn disconnect_slowest(&self) {
         let unread = self.unread.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some((_, answer)) = unread.first_key_value().filter(|(_, answer)| answer.since.elapsed() >= UNREAD_MOST)
-        {
-            answer.cut.notify_one();
+        if let Some((_, answer)) = unread.first_key_value().filter(|(_, answer)| answer.since.elapsed() >= MAX_UNREAD) {
+            answer.disconnect.notify_one();
         }
     }
 }
 
-/// The right to hold some bytes; they are free again when it is dropped.
+/// Reserved bytes of the quota, released on drop.
 #[derive(Debug)]
 pub struct Reservation {
-    buffers: Arc<BufferQuota>,
+    quota: Arc<BufferQuota>,
     bytes: usize,
 }
 
 impl Reservation {
-    /// The right to hold nothing yet.
-    pub fn new(buffers: &Arc<BufferQuota>) -> Reservation {
-        Reservation { buffers: buffers.clone(), bytes: 0 }
+    /// An empty reservation.
+    pub fn new(quota: &Arc<BufferQuota>) -> Reservation {
+        Reservation { quota: quota.clone(), bytes: 0 }
     }
 
-    /// Adds `bytes` to it, where they fit.
+    /// Reserves another `bytes` if they fit.
     pub fn try_grow(&mut self, bytes: usize) -> bool {
-        let fits = self.buffers.try_add(bytes);
+        let fits = self.quota.try_add(bytes);
         if fits {
             self.bytes += bytes;
         }
         fits
     }
 
-    /// Adds `bytes` to it, once they fit.
+    /// Waits until another `bytes` fit, and reserves them.
     ///
     /// # Errors
-    /// When they do not for so long that what is held will hardly be taken.
+    /// When they do not fit after [`MAX_CHECKS`] checks.
     pub async fn grow(&mut self, bytes: usize) -> Result<(), BodyError> {
-        for _ in 0..LOOKS_MOST {
-            let buffers = self.buffers.clone();
-            let mut freed = std::pin::pin!(buffers.freed.notified());
-            // What is freed between the look and the wait must not be missed.
-            freed.as_mut().enable();
+        for _ in 0..MAX_CHECKS {
+            let quota = self.quota.clone();
+            let mut released = std::pin::pin!(quota.released.notified());
+            // Registers for notifications first, so that none is missed between the check and the wait.
+            released.as_mut().enable();
             if self.try_grow(bytes) {
                 return Ok(());
             }
-            if timeout(LOOK, freed).await.is_err() {
-                buffers.cut_oldest();
+            if timeout(CHECK_INTERVAL, released).await.is_err() {
+                quota.disconnect_slowest();
             }
         }
         Err(BodyError::Full)
     }
 
-    /// The bytes that it was taken for; they are counted as long as any part of them is kept. Where they are an answer, `cut`
-    /// ends its caller's connection.
-    pub fn keep(self, data: Vec<u8>, cut: Option<Disconnect>) -> Bytes {
-        let unread = cut.map(|cut| self.buffers.note_unread(cut));
-        Bytes::from_owner(Kept { data, unread, hold: self })
+    /// Ties the reservation to its data: it is released once no part of the data is referenced. For an answer,
+    /// `disconnect` closes its caller's connection.
+    pub fn keep(self, data: Vec<u8>, disconnect: Option<Disconnect>) -> Bytes {
+        let unread_id = disconnect.map(|disconnect| self.quota.add_unread(disconnect));
+        Bytes::from_owner(ReservedData { data, unread_id, reservation: self })
     }
 }
 
 impl Drop for Reservation {
     fn drop(&mut self) {
-        self.buffers.remove(self.bytes);
+        self.quota.remove(self.bytes);
     }
 }
 
-struct Kept {
+struct ReservedData {
     data: Vec<u8>,
-    unread: Option<u64>,
-    hold: Reservation,
+    unread_id: Option<u64>,
+    reservation: Reservation,
 }
 
-impl AsRef<[u8]> for Kept {
+impl AsRef<[u8]> for ReservedData {
     fn as_ref(&self) -> &[u8] {
         &self.data
     }
 }
 
-impl Drop for Kept {
+impl Drop for ReservedData {
     fn drop(&mut self) {
-        if let Some(number) = self.unread {
-            self.hold.buffers.note_taken(number);
+        if let Some(id) = self.unread_id {
+            self.reservation.quota.remove_unread(id);
         }
     }
 }
 
-/// Why a body could not be read whole.
+/// Why a body could not be read completely.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyError {
-    /// It is longer than may be.
+    /// It exceeds the size limit.
     TooLarge,
-    /// It broke off.
+    /// The connection failed.
     Broken,
-    /// More is held than it would fit beside.
+    /// It does not fit into the quota.
     Full,
 }
 
-/// Whose body is read.
+/// The kind of a body, which decides what happens if it does not fit.
 #[derive(Clone, Debug)]
 pub enum BodyKind {
-    /// A caller's request: where it does not fit, it is read no further.
+    /// A caller's request: reading fails.
     Request,
-    /// An answer for a caller: it is read once it fits. The caller's connection is ended by this.
+    /// An answer for a caller, whose connection the signal closes: reading waits until it fits.
     Answer(Disconnect),
 }
 
-/// Reads a body of `limit` bytes at most.
+/// Reads a complete body of at most `limit` bytes.
 ///
 /// # Errors
-/// When it is longer, breaks off, or does not fit.
+/// When it is longer, the connection fails, or it does not fit into the quota.
 pub async fn read_whole(
-    buffers: &Arc<BufferQuota>,
+    quota: &Arc<BufferQuota>,
     mut body: Incoming,
     limit: usize,
     kind: BodyKind,
 ) -> Result<Bytes, BodyError> {
-    let mut hold = Reservation::new(buffers);
-    // Room for all of it is taken before it is read: of many that were read by halves none could be taken by its reader.
+    let mut reservation = Reservation::new(quota);
+    // Reserves the whole length up front, as partly read bodies could block each other.
     let length = body.size_hint().exact().map_or(0, |length| length as usize);
     if length > limit {
         return Err(BodyError::TooLarge);
     }
-    let cut = match kind {
-        BodyKind::Request if !hold.try_grow(length) => return Err(BodyError::Full),
+    let disconnect = match kind {
+        BodyKind::Request if !reservation.try_grow(length) => return Err(BodyError::Full),
         BodyKind::Request => None,
-        BodyKind::Answer(cut) => {
-            hold.grow(length).await?;
-            Some(cut)
+        BodyKind::Answer(disconnect) => {
+            reservation.grow(length).await?;
+            Some(disconnect)
         }
     };
     let mut data = Vec::with_capacity(length);
     while let Some(frame) = body.frame().await {
         let Ok(part) = frame.map_err(|_| BodyError::Broken)?.into_data() else { continue };
-        let after = data.len() + part.len();
-        if after > limit {
+        let new_length = data.len() + part.len();
+        if new_length > limit {
             return Err(BodyError::TooLarge);
         }
-        let lacking = after.saturating_sub(hold.bytes);
-        match cut {
-            Some(_) => hold.grow(lacking).await?,
-            None if hold.try_grow(lacking) => {}
+        let missing = new_length.saturating_sub(reservation.bytes);
+        match disconnect {
+            Some(_) => reservation.grow(missing).await?,
+            None if reservation.try_grow(missing) => {}
             None => return Err(BodyError::Full),
         }
         data.extend_from_slice(&part);
     }
-    Ok(hold.keep(data, cut))
+    Ok(reservation.keep(data, disconnect))
 }
