--- a/crates/rudder-gateway/src/contents.rs
+++ b/crates/rudder-gateway/src/contents.rs
@@ -1,4 +1,4 @@
-//! What became of contents at endpoints: those refused because endpoints ended under them, and those answered of late.
+//! Request contents under which endpoints crashed: which are quarantined, and which were recently answered.
 
 use std::{
     collections::{HashMap, HashSet, VecDeque},
@@ -10,70 +10,72 @@
 use rudder_ledger::{EndedUnder, Findings, Quarantine};
 use rudder_model::{ContentTag, EndpointId, id::endpoint_tag};
 
-/// A content is refused for this long after an endpoint ended under it: a faulty engine is mended in a day. The first end
-/// after that begins it anew.
+/// Time that a content is refused after it was quarantined. The first crash after that starts a new period.
 pub const REFUSED_FOR: Duration = Duration::from_secs(86_400);
-/// Answered contents are remembered for this long at least, and twice as long at most.
-const ANSWERED: Duration = Duration::from_secs(30);
-/// Answered contents remembered from one such time: 9 KB. What many callers ask for is answered again soon.
-const ANSWERED_MOST: usize = 512;
+/// Length of a generation of answered contents, of which the current and the previous one are kept.
+const GENERATION_SPAN: Duration = Duration::from_secs(30);
+/// Maximum number of answered contents in a generation.
+const MAX_ANSWERED: usize = 512;
 
-/// Broken connections remembered; an endpoint that starts again at once is known to have done so within seconds.
-const UNSURE_MOST: usize = 256;
+/// Maximum number of broken connections to keep. A restart of their endpoint is known within seconds.
+const MAX_UNRESOLVED: usize = 256;
 
-/// Contents as this instance knows them.
+/// What this instance knows of request contents.
 #[derive(Debug)]
 pub struct Contents {
-    told: Arc<Quarantine>,
-    /// Contents in quarantine, with the log index at which they came into it and when that was learned here.
+    /// The quarantine as last published.
+    quarantine: Arc<Quarantine>,
+    /// Quarantined contents.
     refused: HashMap<ContentTag, Refused>,
-    /// Contents answered in this span of time.
+    /// Contents answered in the current generation.
     answered: HashSet<ContentTag>,
-    /// The same in the span before.
-    earlier: HashSet<ContentTag>,
-    turned: Moment,
-    /// Contents whose connection broke off at an endpoint that could still be reached: it may have started again.
-    unsure: VecDeque<Broken>,
+    /// Contents answered in the previous generation.
+    answered_before: HashSet<ContentTag>,
+    generation_start: Moment,
+    /// Broken connections to endpoints that were still reachable, and that may have restarted.
+    unresolved: VecDeque<BrokenConnection>,
 }
 
-/// A content whose connection broke off at an endpoint.
+/// A connection that broke while its endpoint processed a content.
 #[derive(Clone, Debug)]
-struct Broken {
+struct BrokenConnection {
     content: ContentTag,
     endpoint: EndpointId,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Refused {
+    /// Log index at which it was quarantined.
     index: u64,
+    /// When this instance learned that.
     learned: Moment,
 }
 
 impl Contents {
-    /// Nothing known, at `now`.
+    /// The initial state.
     pub fn new(now: Moment) -> Contents {
         Contents {
-            told: Arc::default(),
+            quarantine: Arc::default(),
             refused: HashMap::new(),
             answered: HashSet::new(),
-            earlier: HashSet::new(),
-            turned: now,
-            unsure: VecDeque::new(),
+            answered_before: HashSet::new(),
+            generation_start: now,
+            unresolved: VecDeque::new(),
         }
     }
 
-    /// Records what all instances found. Returns the contents that are refused from now on.
-    pub fn publish(&mut self, told: &Arc<Quarantine>, now: Moment) -> Vec<ContentTag> {
-        if Arc::ptr_eq(&self.told, told) {
+    /// Applies a newer state of the quarantine. Returns the contents that are newly refused.
+    pub fn publish(&mut self, quarantine: &Arc<Quarantine>, now: Moment) -> Vec<ContentTag> {
+        if Arc::ptr_eq(&self.quarantine, quarantine) {
             return Vec::new();
         }
-        self.told = told.clone();
-        self.refused.retain(|content, _| told.refused_since(*content).is_some());
+        self.quarantine = quarantine.clone();
+        self.refused.retain(|content, _| quarantine.refused_since(*content).is_some());
         let mut new = Vec::new();
-        for content in told.refused() {
-            let index = told.refused_since(content).unwrap_or_default();
-            let held = self.refused.get(&content);
-            if held.is_some_and(|held| held.index == index) {
+        for content in quarantine.refused() {
+            let index = quarantine.refused_since(content).unwrap_or_default();
+            let known = self.refused.get(&content);
+            if known.is_some_and(|known| known.index == index) {
                 continue;
             }
             self.refused.insert(content, Refused { index, learned: now });
@@ -82,55 +84,56 @@
         new
     }
 
-    /// For how much longer `content` is refused; `None` where it is not.
+    /// Remaining time for which `content` is refused; `None` if it is not refused.
     pub fn refused_for(&self, content: ContentTag, now: Moment) -> Option<Duration> {
         let until = self.refused.get(&content)?.learned + REFUSED_FOR;
-        until.checked_duration_since(now).filter(|left| !left.is_zero())
+        until.checked_duration_since(now).filter(|remaining| !remaining.is_zero())
     }
 
-    /// Contents refused.
+    /// Number of quarantined contents.
     pub fn refused_count(&self) -> usize {
         self.refused.len()
     }
 
-    /// How many endpoints ended under `content`, as far as all instances know.
+    /// Number of endpoints known to have crashed under `content`.
     pub fn ended_count(&self, content: ContentTag) -> usize {
-        self.told.count(content)
+        self.quarantine.count(content)
     }
 
-    /// What is to be told of an endpoint that ended under `content`: nothing where the content was answered of late, so that
-    /// something else ended the endpoint.
+    /// The findings to report after an endpoint crashed under `content`. There are none if the content was recently
+    /// answered, as the crash then had another cause.
     pub fn note_ended(&self, content: ContentTag, endpoint: &EndpointId) -> Option<Findings> {
-        if self.answered.contains(&content) || self.earlier.contains(&content) {
+        if self.answered.contains(&content) || self.answered_before.contains(&content) {
             return None;
         }
         let ended = EndedUnder { content, endpoint: endpoint_tag(endpoint) };
         Some(Findings { ended: vec![ended], ..Findings::default() })
     }
 
-    /// Remembers that a connection broke off under `content` at an endpoint that can still be reached.
+    /// Records a connection that broke under `content` while its endpoint was still reachable.
     pub fn note_broken(&mut self, content: ContentTag, endpoint: &EndpointId) {
-        if self.unsure.len() >= UNSURE_MOST {
-            self.unsure.pop_front();
+        if self.unresolved.len() >= MAX_UNRESOLVED {
+            self.unresolved.pop_front();
         }
-        self.unsure.push_back(Broken { content, endpoint: endpoint.clone() });
+        self.unresolved.push_back(BrokenConnection { content, endpoint: endpoint.clone() });
     }
 
-    /// What is to be told of connections that broke off at endpoints which are known to have `ended` by now.
+    /// The findings to report of broken connections whose endpoints are now known to have `ended`.
     pub fn take_ended(&mut self, ended: &HashSet<EndpointId>) -> Vec<Findings> {
-        let is_over = |held: &Broken| ended.contains(&held.endpoint);
-        let (over, unsure): (VecDeque<Broken>, VecDeque<Broken>) = self.unsure.drain(..).partition(is_over);
-        self.unsure = unsure;
-        over.iter().filter_map(|held| self.note_ended(held.content, &held.endpoint)).collect()
+        let has_ended = |broken: &BrokenConnection| ended.contains(&broken.endpoint);
+        let (resolved, unresolved): (VecDeque<BrokenConnection>, VecDeque<BrokenConnection>) =
+            self.unresolved.drain(..).partition(has_ended);
+        self.unresolved = unresolved;
+        resolved.iter().filter_map(|broken| self.note_ended(broken.content, &broken.endpoint)).collect()
     }
 
-    /// Records that `content` was answered whole. Returns what is to be told of it, where endpoints had ended under it.
+    /// Records a complete answer to `content`. Returns the findings to report if endpoints had crashed under it.
     pub fn note_answered(&mut self, content: ContentTag, now: Moment) -> Option<Findings> {
-        if now >= self.turned + ANSWERED || self.answered.len() >= ANSWERED_MOST {
-            self.turned = now;
-            self.earlier = std::mem::take(&mut self.answered);
+        if now >= self.generation_start + GENERATION_SPAN || self.answered.len() >= MAX_ANSWERED {
+            self.generation_start = now;
+            self.answered_before = std::mem::take(&mut self.answered);
         }
         self.answered.insert(content);
-        (self.told.count(content) > 0).then(|| Findings { answered: vec![content], ..Findings::default() })
+        (self.quarantine.count(content) > 0).then(|| Findings { answered: vec![content], ..Findings::default() })
     }
 }
