--- a/crates/rudder-gateway/src/health.rs
+++ b/crates/rudder-gateway/src/health.rs
@@ -1,5 +1,4 @@
-//! Health of endpoints by the outcomes of requests: the failing are left out for a while, then tried
-//! again with one request.
+//! Passive health checks: endpoints are ejected for a while after failures, and then tried again.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -9,102 +8,107 @@
 use rudder_clock::Moment;
 use rudder_model::EndpointId;
 
-/// First pause of an endpoint that fails; it doubles with each failure that follows.
-const PAUSE: Duration = Duration::from_millis(500);
-/// Longest pause.
-const PAUSE_MAX: Duration = Duration::from_secs(4);
-/// Failures one after the other that eject.
-const STREAK: u32 = 2;
-/// Weight of the latest outcome in the share of failures.
-const WEIGHT: f64 = 0.15;
-/// Share of failures that ejects.
-const FAILING: f64 = 0.3;
+/// Duration of the first ejection; it doubles with each consecutive one.
+const BASE_EJECTION: Duration = Duration::from_millis(500);
+/// Longest duration of an ejection.
+const MAX_EJECTION: Duration = Duration::from_secs(4);
+/// Consecutive failures after which an endpoint is ejected.
+const MAX_STREAK: u32 = 2;
+/// Weight of the latest outcome in the failure rate.
+const OUTCOME_WEIGHT: f64 = 0.15;
+/// Failure rate above which an endpoint is ejected.
+const MAX_FAILURE_RATE: f64 = 0.3;
 
-/// An endpoint whose address another has taken does not come back.
-const GONE: Duration = Duration::from_secs(6);
+/// Duration of the ejection of a replaced endpoint, which does not come back.
+const REPLACED_EJECTION: Duration = Duration::from_secs(6);
 
-/// How a request ended, as far as it speaks for or against its endpoint.
+/// The outcome of a request, with regard to the health of its endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// It was answered.
     Good,
     /// No connection could be made.
     Unreachable,
-    /// Another has its address.
+    /// Another endpoint has taken its address.
     Replaced,
-    /// It broke off, answered wrongly or with an error of its own.
+    /// The connection broke, or the answer was invalid or an internal error.
     Failed,
 }
 
 #[derive(Debug, Default)]
-struct Standing {
+struct EndpointHealth {
+    /// Consecutive failures.
     streak: u32,
-    failing: f64,
+    /// Moving average of failures.
+    failure_rate: f64,
+    /// Consecutive ejections.
     ejections: u32,
+    /// End of the current ejection.
     until: Option<Moment>,
 }
 
-/// Standing of all endpoints.
+/// Health of all endpoints.
 #[derive(Debug, Default)]
 pub struct Health {
-    standings: HashMap<EndpointId, Standing>,
+    endpoints: HashMap<EndpointId, EndpointHealth>,
     suspects: HashSet<EndpointId>,
 }
 
 impl Health {
-    /// True while `endpoint` is left out.
+    /// Whether `endpoint` is ejected.
     pub fn is_ejected(&self, endpoint: &str, now: Moment) -> bool {
         if self.suspects.contains(endpoint) {
             return true;
         }
-        let until = self.standings.get(endpoint).and_then(|standing| standing.until);
+        let until = self.endpoints.get(endpoint).and_then(|state| state.until);
         until.is_some_and(|until| now < until)
     }
 
-    /// When `endpoint`, which is left out for its outcomes here, is tried again.
+    /// When the ejection of `endpoint` by this instance's own outcomes ends.
     pub fn retry_at(&self, endpoint: &str, now: Moment) -> Option<Moment> {
-        self.standings.get(endpoint)?.until.filter(|until| now < *until)
+        self.endpoints.get(endpoint)?.until.filter(|until| now < *until)
     }
 
-    /// Records an outcome. Returns the pause where the endpoint is left out from now on.
+    /// Records an outcome. Returns the duration of the ejection if the endpoint is now ejected.
     pub fn note(&mut self, endpoint: &EndpointId, outcome: Outcome, now: Moment) -> Option<Duration> {
-        let standing = self.standings.entry(endpoint.clone()).or_default();
+        let state = self.endpoints.entry(endpoint.clone()).or_default();
         if outcome == Outcome::Good {
-            standing.streak = 0;
-            standing.failing *= 1.0 - WEIGHT;
-            if standing.until.is_none_or(|until| now >= until) {
-                standing.until = None;
-                standing.ejections = 0;
+            state.streak = 0;
+            state.failure_rate *= 1.0 - OUTCOME_WEIGHT;
+            if state.until.is_none_or(|until| now >= until) {
+                state.until = None;
+                state.ejections = 0;
             }
             return None;
         }
-        standing.streak += 1;
-        standing.failing = standing.failing * (1.0 - WEIGHT) + WEIGHT;
+        state.streak += 1;
+        state.failure_rate = state.failure_rate * (1.0 - OUTCOME_WEIGHT) + OUTCOME_WEIGHT;
         if outcome == Outcome::Replaced {
-            standing.until = Some(now + GONE);
-            return Some(GONE);
+            state.until = Some(now + REPLACED_EJECTION);
+            return Some(REPLACED_EJECTION);
         }
-        let ejects = outcome == Outcome::Unreachable || standing.streak >= STREAK || standing.failing > FAILING;
-        if !ejects || standing.until.is_some_and(|until| now < until) {
+        let ejects =
+            outcome == Outcome::Unreachable || state.streak >= MAX_STREAK || state.failure_rate > MAX_FAILURE_RATE;
+        if !ejects || state.until.is_some_and(|until| now < until) {
             return None;
         }
-        let pause = (PAUSE * 2_u32.pow(standing.ejections.min(4))).min(PAUSE_MAX);
-        standing.ejections += 1;
-        // After the pause one more failure is enough.
-        standing.streak = STREAK - 1;
-        standing.until = Some(now + pause);
-        Some(pause)
+        let ejection = (BASE_EJECTION * 2_u32.pow(state.ejections.min(4))).min(MAX_EJECTION);
+        state.ejections += 1;
+        // After the ejection, a single failure ejects again.
+        state.streak = MAX_STREAK - 1;
+        state.until = Some(now + ejection);
+        Some(ejection)
     }
 
-    /// Sets the endpoints that all instances' outcomes together make suspect. Returns those that were not before.
+    /// Sets the endpoints that are suspect by the outcomes of all instances. Returns the new ones.
     pub fn set_suspects(&mut self, suspects: HashSet<EndpointId>) -> Vec<EndpointId> {
         let new = suspects.difference(&self.suspects).cloned().collect();
         self.suspects = suspects;
         new
     }
 
-    /// Drops endpoints that are no longer known.
+    /// Drops unknown endpoints.
     pub fn retain(&mut self, known: impl Fn(&EndpointId) -> bool) {
-        self.standings.retain(|endpoint, _| known(endpoint));
+        self.endpoints.retain(|endpoint, _| known(endpoint));
     }
 }
