--- a/crates/rudder-gateway/src/backoff.rs
+++ b/crates/rudder-gateway/src/backoff.rs
@@ -1,57 +1,56 @@
-//! Endpoints that have asked this instance, in their answers, to send them nothing: for a while, or ever again.
+//! Endpoints that asked this instance, in their answers, to back off for a while, or that announced that they drain.
 //!
-//! A rest is meant for one instance only, so no other is told. That an endpoint leaves, its heartbeats tell all; its answers are
-//! the sooner word where it or this instance cannot reach the core. Unlike an endpoint that fails ([`crate::health`]), neither
-//! is taken as a last resort.
+//! A backoff concerns one instance and is not shared. Draining is also announced in heartbeats, but answers report it
+//! earlier if the endpoint or this instance cannot reach the core. Unlike ejected endpoints ([`crate::health`]), these are
+//! not used as a fallback.
 
 use std::{collections::HashMap, time::Duration};
 
 use rudder_clock::Moment;
 use rudder_model::EndpointId;
 
-/// An endpoint that has left is remembered for this long after its last word, also when it is no longer known: a heartbeat that was
-/// held up on its way may bring it back.
-const REMEMBERED: Duration = Duration::from_secs(60);
+/// Time that an unknown draining endpoint is kept after its last answer, as a delayed heartbeat may make it known again.
+const RETENTION: Duration = Duration::from_secs(60);
 
-/// What endpoints have asked for.
+/// Backoffs and draining endpoints.
 #[derive(Debug, Default)]
 pub struct Backoff {
-    /// Ends of rests, by endpoint.
-    rests: HashMap<EndpointId, Moment>,
-    /// Endpoints that leave, and when they last said so.
+    /// End of the backoff by endpoint.
+    until: HashMap<EndpointId, Moment>,
+    /// Draining endpoints, and when they last announced it.
     leaving: HashMap<EndpointId, Moment>,
 }
 
 impl Backoff {
-    /// Records that `endpoint` wants nothing for `rest`. A longer time named before stands.
-    pub fn record_backoff(&mut self, endpoint: &EndpointId, rest: Duration, now: Moment) {
-        let until = self.rests.entry(endpoint.clone()).or_insert(now);
-        *until = (*until).max(now + rest);
+    /// Records that `endpoint` asked for a backoff. It never shortens an earlier one.
+    pub fn record_backoff(&mut self, endpoint: &EndpointId, duration: Duration, now: Moment) {
+        let until = self.until.entry(endpoint.clone()).or_insert(now);
+        *until = (*until).max(now + duration);
     }
 
-    /// Records that `endpoint` leaves. True where it had not said so before.
+    /// Records that `endpoint` is draining. Returns whether that is new.
     pub fn record_leaving(&mut self, endpoint: &EndpointId, now: Moment) -> bool {
         self.leaving.insert(endpoint.clone(), now).is_none()
     }
 
-    /// When the rest of `endpoint` ends; `None` where it does not rest.
+    /// When the backoff of `endpoint` ends; `None` if there is none.
     pub fn retry_at(&self, endpoint: &str, now: Moment) -> Option<Moment> {
-        self.rests.get(endpoint).copied().filter(|until| now < *until)
+        self.until.get(endpoint).copied().filter(|until| now < *until)
     }
 
-    /// True where `endpoint` has said that it leaves.
+    /// Whether `endpoint` is draining.
     pub fn is_leaving(&self, endpoint: &str) -> bool {
         self.leaving.contains_key(endpoint)
     }
 
-    /// True while nothing may be sent to `endpoint`.
+    /// Whether `endpoint` must not be used now.
     pub fn is_blocked(&self, endpoint: &str, now: Moment) -> bool {
         self.is_leaving(endpoint) || self.retry_at(endpoint, now).is_some()
     }
 
-    /// Forgets rests that have ended, and what has left and is not `known` any more.
+    /// Drops backoffs that have ended, and draining endpoints that are no longer `known`.
     pub fn age(&mut self, now: Moment, known: impl Fn(&EndpointId) -> bool) {
-        self.rests.retain(|_, until| now < *until);
-        self.leaving.retain(|endpoint, said| known(endpoint) || now < *said + REMEMBERED);
+        self.until.retain(|_, until| now < *until);
+        self.leaving.retain(|endpoint, announced| known(endpoint) || now < *announced + RETENTION);
     }
 }
