--- a/crates/rudder-gateway/src/budget.rs
+++ b/crates/rudder-gateway/src/budget.rs
@@ -1,5 +1,5 @@
-//! The retry budget: requests sent again stay a share of the requests, plus this instance's part of a
-//! fixed extra that all instances have together.
+//! The retry budget: retries are limited to a ratio of the requests, plus this instance's share of a fixed allowance for
+//! all instances.
 
 use rudder_clock::Moment;
 use std::{
@@ -8,16 +8,16 @@
     time::Duration,
 };
 
-/// Part of the allowance that is used: the others' windows do not begin with ours.
-const CAUTION: f64 = 0.7;
+/// Share of the budget that is used, as the windows of the instances are not aligned.
+const SAFETY_FACTOR: f64 = 0.7;
 
 #[derive(Debug, Default)]
 struct Window {
     requests: VecDeque<Moment>,
-    again: VecDeque<Moment>,
+    retries: VecDeque<Moment>,
 }
 
-/// Requests and repeats of each service over one window.
+/// Requests and retries of each service within a sliding window.
 #[derive(Debug)]
 pub struct Budget {
     window: Duration,
@@ -27,7 +27,7 @@
 }
 
 impl Budget {
-    /// A budget of `ratio` repeats for each request, and `extra` over all instances, in any `window`.
+    /// A budget of `ratio` retries per request, and `extra` retries for all instances together, in any `window`.
     pub fn new(window: Duration, ratio: f64, extra: u32) -> Budget {
         Budget { window, ratio, extra, services: HashMap::new() }
     }
@@ -37,22 +37,22 @@
         self.window(service, now).requests.push_back(now);
     }
 
-    /// Takes the right to one repeat, if there is one left; `instances` share the extra.
+    /// Takes one retry from the budget if any is left. The extra retries are shared by `instances`.
     pub fn try_take(&mut self, service: &Arc<str>, now: Moment, instances: usize) -> bool {
         let (ratio, extra) = (self.ratio, f64::from(self.extra) / instances.max(1) as f64);
         let window = self.window(service, now);
-        let allowed = (window.requests.len() as f64 * ratio + extra) * CAUTION;
-        if window.again.len() as f64 + 1.0 > allowed {
+        let allowed = (window.requests.len() as f64 * ratio + extra) * SAFETY_FACTOR;
+        if window.retries.len() as f64 + 1.0 > allowed {
             return false;
         }
-        window.again.push_back(now);
+        window.retries.push_back(now);
         true
     }
 
     fn window(&mut self, service: &Arc<str>, now: Moment) -> &mut Window {
         let span = self.window;
         let window = self.services.entry(service.clone()).or_default();
-        for times in [&mut window.requests, &mut window.again] {
+        for times in [&mut window.requests, &mut window.retries] {
             while times.front().is_some_and(|time| *time + span < now) {
                 times.pop_front();
             }
