--- a/crates/rudder-gateway/tests/candidates.rs
+++ b/crates/rudder-gateway/tests/candidates.rs
@@ -1,4 +1,4 @@
-//! Which engines keep a session: the same at all instances, few others when engines come or leave, and evenly spread.
+//! Candidate endpoints, and the ranking of engines for a session, which has to be consistent across instances and even.
 
 mod support;
 
@@ -18,34 +18,34 @@
     (0..count).map(|number| endpoint(number, &format!("hall-{}", number % 3))).collect()
 }
 
-fn homes(engines: &[Registration], session: u64, skipped: &str) -> Vec<EndpointId> {
+fn top_ranked(engines: &[Registration], session: u64, skipped: &str) -> Vec<EndpointId> {
     let candidates = Candidates::new(roster(engines).of("svc"), "svc", &Known::default().inputs());
-    let homes = candidates.bulk.top_ranked::<2>(session, |held| *held.endpoint == *skipped);
-    homes.iter().map(|home| home.endpoint.clone()).collect()
+    let ranked = candidates.bulk.top_ranked::<2>(session, |engine| *engine.endpoint == *skipped);
+    ranked.iter().map(|engine| engine.endpoint.clone()).collect()
 }
 
 #[test]
-fn all_instances_name_the_same_engines_whatever_the_order() {
+fn the_ranking_does_not_depend_on_the_order_of_engines() {
     let mut engines = engines(40);
-    let before = homes(&engines, 77, "");
+    let before = top_ranked(&engines, 77, "");
     engines.reverse();
-    assert_eq!(homes(&engines, 77, ""), before);
+    assert_eq!(top_ranked(&engines, 77, ""), before);
     assert_eq!(before.len(), 2);
 }
 
 #[test]
-fn an_engine_that_leaves_moves_its_own_sessions_alone() {
+fn only_the_sessions_of_a_removed_engine_move() {
     let engines = engines(40);
     for session in 0..200 {
-        let before = homes(&engines, session, "");
+        let before = top_ranked(&engines, session, "");
         let lost = before[0].clone();
-        let rest: Vec<Registration> = engines.iter().filter(|held| held.endpoint != lost).cloned().collect();
-        assert_eq!(homes(&rest, session, "")[0], before[1], "the second takes over");
-        assert_eq!(homes(&engines, session, &lost)[0], before[1], "as where the first must not be used");
+        let rest: Vec<Registration> = engines.iter().filter(|engine| engine.endpoint != lost).cloned().collect();
+        assert_eq!(top_ranked(&rest, session, "")[0], before[1], "the second engine takes over");
+        assert_eq!(top_ranked(&engines, session, &lost)[0], before[1], "the same if the first engine is skipped");
         let other =
-            engines.iter().find(|held| !before.contains(&held.endpoint)).expect("many are there").endpoint.clone();
-        let rest: Vec<Registration> = engines.iter().filter(|held| held.endpoint != other).cloned().collect();
-        assert_eq!(homes(&rest, session, ""), before);
+            engines.iter().find(|engine| !before.contains(&engine.endpoint)).expect("many are there").endpoint.clone();
+        let rest: Vec<Registration> = engines.iter().filter(|engine| engine.endpoint != other).cloned().collect();
+        assert_eq!(top_ranked(&rest, session, ""), before);
     }
 }
 
@@ -54,15 +54,15 @@
     let engines = engines(20);
     let mut counts: BTreeMap<EndpointId, u32> = BTreeMap::new();
     for session in 0..4_000 {
-        *counts.entry(homes(&engines, session, "")[0].clone()).or_default() += 1;
+        *counts.entry(top_ranked(&engines, session, "")[0].clone()).or_default() += 1;
     }
     let (least, most) = (counts.values().min(), counts.values().max());
     assert_eq!(counts.len(), 20);
-    assert!(least > Some(&140) && most < Some(&260), "200 in the mean: {least:?} to {most:?}");
+    assert!(least > Some(&140) && most < Some(&260), "200 on average: {least:?} to {most:?}");
 }
 
 #[test]
-fn a_field_is_worked_out_anew_when_an_engine_may_come_back() {
+fn candidates_are_recomputed_when_an_ejection_ends() {
     let (mut known, roster) = (Known::default(), roster(&engines(3)));
     let (mut candidate_cache, service, now) = (CandidateCache::default(), "svc".into(), known.now);
     known.health.note(&"e-1".into(), Outcome::Unreachable, now);
@@ -76,21 +76,21 @@
 }
 
 #[test]
-fn where_none_is_well_the_doubtful_are_left() {
+fn unhealthy_endpoints_are_the_fallback() {
     let mut known = Known::default();
     let mut engines = engines(3);
     engines[0].phase = Phase::Silent;
     engines[1].phase = Phase::Leaving;
     known.health.note(&"e-2".into(), Outcome::Unreachable, known.now);
     let candidates = Candidates::new(roster(&engines).of("svc"), "svc", &known.inputs());
-    let names: Vec<&str> = candidates.fallback.endpoints.iter().map(|held| &*held.endpoint).collect();
+    let names: Vec<&str> = candidates.fallback.endpoints.iter().map(|engine| &*engine.endpoint).collect();
     assert!(candidates.bulk.endpoints.is_empty() && candidates.quick.endpoints.is_empty());
     assert_eq!(names, ["e-0", "e-2"]);
 }
 
-/// One that rests comes back when its rest is over, and is not in the fallback lane meanwhile.
+/// A backed off endpoint returns when its backoff ends, and is not a fallback before.
 #[test]
-fn a_field_has_none_that_rests_or_leaves() {
+fn candidates_exclude_backed_off_and_draining_endpoints() {
     let (mut known, roster) = (Known::default(), roster(&engines(3)));
     let (mut candidate_cache, service, now) = (CandidateCache::default(), "svc".into(), known.now);
     known.backoff.record_backoff(&"e-1".into(), Duration::from_millis(150), now);
@@ -105,9 +105,9 @@
     assert_eq!(count_after(151), (2, 0));
 }
 
-/// One whose rate limit is used up comes back when its holder may grant again.
+/// After a denial, an endpoint returns when permits may be requested again.
 #[test]
-fn a_field_has_none_whose_limit_is_used_up() {
+fn candidates_exclude_endpoints_without_permits() {
     let (mut known, roster) = (Known::default(), roster(&engines(3)));
     let (mut candidate_cache, service, now) = (CandidateCache::default(), "svc".into(), known.now);
     let limit = LimitNotice::Limited(RequestRate::try_from_per_second(1.0).expect("a rate"));
