--- a/crates/rudder-gateway/tests/limits.rs
+++ b/crates/rudder-gateway/tests/limits.rs
@@ -1,4 +1,4 @@
-//! What is known of the rate limits that endpoints name: the latest word holds, whatever the order in which answers come.
+//! Rate limits announced by endpoints: the latest information applies, in whatever order answers arrive.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
     LimitNotice::Limited(RequestRate::try_from_per_second(requests).expect("a rate"))
 }
 
-/// Answers, as milliseconds at which their requests were sent and they came, and the limit known afterwards.
+/// Answers, with the times in milliseconds when the request was sent and the answer received, and the resulting limit.
 struct Case {
     answers: Vec<(u64, u64, LimitNotice)>,
     expected: Option<f64>,
@@ -23,18 +23,18 @@
     fn run(&self) {
         let endpoint: EndpointId = "e-1".into();
         let (mut limits, start) = (RateLimits::default(), Moment::now());
-        for (sent, came, notice) in &self.answers {
+        for (sent, received, notice) in &self.answers {
             let before = limits.rate(&endpoint);
             let at = |millis: &u64| start + Duration::from_millis(*millis);
-            let recorded = limits.record_answer(&endpoint, *notice, at(sent), at(came));
+            let recorded = limits.record_answer(&endpoint, *notice, at(sent), at(received));
             assert_eq!(
                 recorded.is_some_and(|recorded| recorded.changed),
                 limits.rate(&endpoint) != before,
-                "{notice:?} after {came} ms"
+                "{notice:?} after {received} ms"
             );
         }
         assert_eq!(limits.rate(&endpoint).map(RequestRate::per_second), self.expected);
-        assert_eq!(limits.rate("e-2"), None, "no other is limited");
+        assert_eq!(limits.rate("e-2"), None, "other endpoints have no limit");
     }
 }
 
@@ -47,15 +47,15 @@
 }
 
 cases! {
-    nothing_was_said: [(0, 5, NONE)] => None;
-    a_limit_holds_once_it_was_named: [(0, 5, limited(1.2))] => Some(1.2);
-    the_latest_limit_holds: [(0, 5, limited(1.2)), (6, 10, limited(3.0))] => Some(3.0);
-    a_limit_ends_when_an_answer_names_none: [(0, 5, limited(1.2)), (6, 10, NONE)] => None;
-    /// It may have been made before the limit was named.
-    an_answer_to_a_request_sent_before_does_not_end_it: [(0, 5, limited(1.2)), (4, 10, NONE)] => Some(1.2);
-    what_cannot_be_told_changes_nothing: [(0, 5, limited(1.2)), (6, 10, LimitNotice::Unknown)] => Some(1.2);
-    a_limit_that_ended_may_come_back: [(0, 5, limited(1.2)), (6, 10, NONE), (11, 15, limited(0.5))] => Some(0.5);
-    a_limit_of_nothing_is_one: [(0, 5, limited(0.0))] => Some(0.0);
+    an_answer_without_a_limit_sets_none: [(0, 5, NONE)] => None;
+    an_announced_limit_applies: [(0, 5, limited(1.2))] => Some(1.2);
+    the_latest_limit_applies: [(0, 5, limited(1.2)), (6, 10, limited(3.0))] => Some(3.0);
+    an_answer_without_a_limit_lifts_it: [(0, 5, limited(1.2)), (6, 10, NONE)] => None;
+    /// The answer may predate the announcement of the limit.
+    an_answer_to_an_earlier_request_does_not_lift_it: [(0, 5, limited(1.2)), (4, 10, NONE)] => Some(1.2);
+    an_unknown_limit_changes_nothing: [(0, 5, limited(1.2)), (6, 10, LimitNotice::Unknown)] => Some(1.2);
+    a_lifted_limit_may_be_announced_again: [(0, 5, limited(1.2)), (6, 10, NONE), (11, 15, limited(0.5))] => Some(0.5);
+    a_limit_of_zero_is_a_limit: [(0, 5, limited(0.0))] => Some(0.0);
 }
 
 const ENDPOINT: &str = "e-1";
@@ -64,7 +64,7 @@
     Duration::from_millis(millis)
 }
 
-/// Rate limits in which the endpoint has just named one of 40 a second.
+/// Rate limits after the endpoint has just announced 40 requests per second.
 fn limited_to_forty(now: Moment) -> RateLimits {
     let mut limits = RateLimits::default();
     limits.record_answer(&ENDPOINT.into(), limited(40.0), now, now);
@@ -77,29 +77,29 @@
 }
 
 #[test]
-fn permits_hold_for_their_endpoint_and_for_a_while() {
+fn permits_are_valid_for_one_endpoint_and_a_limited_time() {
     let now = Moment::now();
     let permit = limited_to_forty(now).take_granted(ENDPOINT, 0, 1, now);
     assert!(permit.holds(ENDPOINT, now + millis(499)));
-    assert!(!permit.holds(ENDPOINT, now + millis(500)), "what is sent later comes on top of others' requests");
+    assert!(!permit.holds(ENDPOINT, now + millis(500)), "it would add to the permits of others");
     assert!(!permit.holds("e-2", now));
 }
 
 #[test]
-fn permits_that_are_left_serve_requests_as_urgent() {
+fn spare_permits_serve_requests_of_the_same_or_a_higher_priority() {
     let now = Moment::now();
     let mut limits = limited_to_forty(now);
     limits.take_granted(ENDPOINT, 1, 3, now);
-    assert!(limits.take_spare(ENDPOINT, 2, now).is_none(), "they were granted to a more urgent one");
+    assert!(limits.take_spare(ENDPOINT, 2, now).is_none(), "they were granted for a higher priority");
     assert!(limits.take_spare(ENDPOINT, 0, now).is_some());
     assert!(limits.take_spare(ENDPOINT, 1, now + millis(499)).is_some());
     assert!(limits.take_spare(ENDPOINT, 1, now + millis(499)).is_none(), "all are used");
     limits.take_granted(ENDPOINT, 1, 3, now);
-    assert!(limits.take_spare(ENDPOINT, 1, now + millis(500)).is_none(), "they are too old");
+    assert!(limits.take_spare(ENDPOINT, 1, now + millis(500)).is_none(), "they have expired");
 }
 
 #[test]
-fn an_instance_asks_for_what_it_used_of_late() {
+fn the_number_of_permits_to_request_follows_recent_use() {
     let now = Moment::now();
     let mut limits = limited_to_forty(now);
     assert_eq!(limits.wanted(ENDPOINT, now), 1);
@@ -119,12 +119,12 @@
     assert_eq!(limits.retry_at(ENDPOINT, now), Some(until));
     assert_eq!(limits.retry_at(ENDPOINT, until), None);
     limits.record_report(report(Some(40.0), 0), now + millis(5));
-    assert_eq!(limits.retry_at(ENDPOINT, now + millis(5)), Some(until), "nothing is new");
+    assert_eq!(limits.retry_at(ENDPOINT, now + millis(5)), Some(until), "the limit is unchanged");
     limits.record_report(report(Some(80.0), 0), now + millis(10));
     assert_eq!(limits.retry_at(ENDPOINT, now + millis(10)), None);
 }
 
-macro_rules! told {
+macro_rules! reports {
     ($($(#[$meta:meta])* $name:ident: $report:expr, after $after:literal => $expected:expr;)*) => {
         $($(#[$meta])* #[test] fn $name() {
             let now = Moment::now();
@@ -135,16 +135,16 @@
     };
 }
 
-told! {
-    what_others_learned_later_holds: report(Some(2.0), 10), after 100 => Some(2.0);
-    what_others_learned_before_does_not: report(Some(2.0), 200), after 100 => Some(40.0);
-    that_it_ended_others_learned_later: report(None, 10), after 100 => None;
-    that_it_ended_others_learned_before: report(None, 200), after 100 => Some(40.0);
+reports! {
+    a_newer_report_applies: report(Some(2.0), 10), after 100 => Some(2.0);
+    an_older_report_is_ignored: report(Some(2.0), 200), after 100 => Some(40.0);
+    a_newer_report_lifts_the_limit: report(None, 10), after 100 => None;
+    an_older_report_does_not_lift_the_limit: report(None, 200), after 100 => Some(40.0);
 }
 
-/// What was told comes back to an instance later than it was said, and must not outdate an answer that came meanwhile.
+/// An instance receives its own reports back with a later time, which must not override an answer received in between.
 #[test]
-fn what_comes_back_from_others_does_not_outdate_a_later_answer() {
+fn an_echoed_report_does_not_override_a_later_answer() {
     let now = Moment::now();
     let mut limits = limited_to_forty(now);
     limits.record_report(report(Some(40.0), 0), now + millis(20));
@@ -152,7 +152,7 @@
     assert_eq!(limits.rate(ENDPOINT), None);
 }
 
-/// An endpoint that is lost for a moment keeps its limit.
+/// An endpoint that is unknown for a moment keeps its limit.
 #[test]
 fn a_limit_outlasts_a_short_absence_of_its_endpoint() {
     let now = Moment::now();
