--- a/crates/rudder-gateway/tests/placement.rs
+++ b/crates/rudder-gateway/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Where requests may go: evacuated halls, home regions, and endpoints that are warming up.
+//! Placement of requests: evacuated halls, restrictions to regions, and slow start of endpoints.
 
 mod support;
 
@@ -20,7 +20,7 @@
 use support::{Known, endpoint, roster};
 
 const SECOND: Duration = Duration::from_secs(1);
-/// Requests a second that a cold endpoint bears.
+/// Slow start rate of a cold endpoint, in requests per second.
 const RATE: f64 = 11.0;
 const SPAN: Duration = Duration::from_secs(3);
 
@@ -30,7 +30,7 @@
     (0..9).map(endpoint).collect()
 }
 
-fn to_route(homes: &[&str]) -> Route {
+fn to_route(regions: &[&str]) -> Route {
     Route {
         name: "r".into(),
         host: "h".into(),
@@ -44,11 +44,11 @@
         attempts: 1,
         open: false,
         resumable: false,
-        residency: to_homes(homes),
+        residency: to_residency(regions),
     }
 }
 
-fn to_homes(regions: &[&str]) -> Option<Arc<[RegionId]>> {
+fn to_residency(regions: &[&str]) -> Option<Arc<[RegionId]>> {
     (!regions.is_empty()).then(|| regions.iter().map(|region| RegionId::from(*region)).collect())
 }
 
@@ -68,7 +68,7 @@
     Arc::new(evacuations)
 }
 
-/// The halls a and b lie in the north, c in the south.
+/// The halls a and b lie in the region north, c in south.
 fn placement() -> Placement {
     let regions = [("a", "north"), ("b", "north"), ("c", "south")];
     Placement::new(regions.into_iter().map(|(hall, region)| (hall.into(), region.into())).collect())
@@ -87,8 +87,8 @@
         Scene { endpoints: endpoints(), known }
     }
 
-    /// What is chosen for a request bound to `homes`; with a long answer, for which a copy is kept.
-    fn choose(&self, homes: &[&str]) -> Option<Choice> {
+    /// The choice for a request restricted to `regions`, with an answer long enough for a backup.
+    fn choose(&self, regions: &[&str]) -> Option<Choice> {
         let prompt = Prompt {
             tokens: 5_000,
             max_answer: 1_000,
@@ -98,21 +98,21 @@
         let prompt = self.known.plan.services["svc"].engine.map(|_| &prompt);
         let inputs = self.known.inputs();
         let candidates = Candidates::new(roster(&self.endpoints).of("svc"), "svc", &inputs);
-        let homes = to_homes(homes);
-        let eligible = Eligibility { residency: homes.as_deref(), ..Eligibility::default() };
+        let residency = to_residency(regions);
+        let eligible = Eligibility { residency: residency.as_deref(), ..Eligibility::default() };
         choose::choose(&inputs, &to_route(&[]), "svc", &candidates, prompt, eligible)
     }
 
     fn hall_of(&self, choice: &Choice) -> HallId {
-        let held = self.endpoints.iter().find(|held| held.endpoint == choice.endpoint);
-        held.expect("it is known").hall.clone()
+        let endpoint = self.endpoints.iter().find(|endpoint| endpoint.endpoint == choice.endpoint);
+        endpoint.expect("a known endpoint").hall.clone()
     }
 
-    /// The halls of 200 choices.
-    fn halls(&self, homes: &[&str]) -> BTreeMap<HallId, u32> {
+    /// How many of 200 choices fall on each hall.
+    fn halls(&self, regions: &[&str]) -> BTreeMap<HallId, u32> {
         let mut counts = BTreeMap::new();
         for _ in 0..200 {
-            let Some(choice) = self.choose(homes) else { continue };
+            let Some(choice) = self.choose(regions) else { continue };
             *counts.entry(self.hall_of(&choice)).or_default() += 1;
         }
         counts
@@ -130,46 +130,46 @@
 }
 
 both_kinds! {
-    an_evacuated_hall_gets_nothing: |mut scene| {
+    an_evacuated_hall_gets_no_requests: |mut scene| {
         scene.known.placement.set_evacuations(evacuated("a"));
         let halls = scene.halls(&[]);
         assert!(!halls.contains_key("a") && !halls.is_empty(), "{halls:?}");
     };
-    /// Not even where it is the last one: its endpoints are not a worse choice, but none.
-    where_all_that_is_left_is_evacuated_nothing_is_chosen: |mut scene| {
-        scene.endpoints.retain(|held| *held.hall == *"a");
+    /// Not even if no other hall has endpoints.
+    evacuated_endpoints_are_no_fallback: |mut scene| {
+        scene.endpoints.retain(|endpoint| *endpoint.hall == *"a");
         scene.known.placement.set_evacuations(evacuated("a"));
         assert_eq!(scene.choose(&[]), None);
     };
-    what_has_homes_stays_in_them: |scene| {
+    requests_stay_in_their_regions: |scene| {
         let halls = scene.halls(&["south"]);
         assert_eq!(halls.keys().map(|hall| &**hall).collect::<Vec<_>>(), ["c"]);
     };
-    where_its_homes_have_nothing_left_it_goes_nowhere: |mut scene| {
-        scene.endpoints.retain(|held| *held.hall != *"c");
+    a_request_without_endpoints_in_its_regions_is_not_sent: |mut scene| {
+        scene.endpoints.retain(|endpoint| *endpoint.hall != *"c");
         assert_eq!(scene.choose(&["south"]), None);
     };
-    a_hall_of_unknown_region_is_no_home: |mut scene| {
+    a_hall_of_unknown_region_is_in_no_residency: |mut scene| {
         scene.known.placement = Placement::default();
         assert_eq!(scene.choose(&["south"]), None);
         assert!(scene.choose(&[]).is_some());
     };
-    /// Of all instances together it bears eleven a second, of this one alone all of them.
-    a_cold_endpoint_gets_its_bound_and_no_more: |mut scene| {
+    /// As the only sender, this instance gets the whole rate.
+    a_cold_endpoint_gets_at_most_its_rate: |mut scene| {
         scene.endpoints.truncate(1);
         scene.endpoints[0].warming = true;
-        let mut taken = 0;
+        let mut sent = 0;
         for _ in 0..50 {
             let Some(choice) = scene.choose(&[]) else { break };
-            let allowed = scene.known.slow_start.allowance(&scene.endpoints[0], Some(WarmUp { span: SPAN, rate: RATE }), &scene.known.policy.slow_start, scene.known.now);
-            assert!(scene.known.slow_start.try_take(&choice.endpoint, allowed, scene.known.now));
-            taken += 1;
+            let allowance = scene.known.slow_start.allowance(&scene.endpoints[0], Some(WarmUp { span: SPAN, rate: RATE }), &scene.known.policy.slow_start, scene.known.now);
+            assert!(scene.known.slow_start.try_take(&choice.endpoint, allowance, scene.known.now));
+            sent += 1;
         }
-        assert_eq!(taken, 11);
+        assert_eq!(sent, 11);
         scene.known.now = scene.known.now + SECOND * 2;
         assert!(scene.choose(&[]).is_some());
     };
-    the_endpoints_of_a_hall_that_comes_back_are_cold: |mut scene| {
+    the_endpoints_of_a_returned_hall_are_cold: |mut scene| {
         scene.endpoints.truncate(1);
         scene.known.slow_start.record_hall_return(&"a".into(), scene.known.now);
         let warm_up = Some(WarmUp { span: SPAN, rate: RATE });
@@ -179,24 +179,24 @@
     };
 }
 
-/// What is copied or taken along of a prompt stays in its homes as well.
+/// Restrictions to regions also apply to copies of the KV cache.
 #[test]
-fn copies_and_moves_stay_in_the_homes() {
+fn backups_and_fetches_stay_in_the_regions_of_the_request() {
     let scene = Scene::new(true);
     let addresses: Vec<&str> =
-        scene.endpoints.iter().filter(|held| *held.hall == *"c").map(|held| &*held.address).collect();
+        scene.endpoints.iter().filter(|endpoint| *endpoint.hall == *"c").map(|endpoint| &*endpoint.address).collect();
     for _ in 0..200 {
-        let choice = scene.choose(&["south"]).expect("three are there");
+        let choice = scene.choose(&["south"]).expect("a choice");
         for other in [choice.fetch_from.as_deref(), choice.backup.as_ref().map(|backup| &*backup.address)] {
             assert!(other.is_none_or(|other| addresses.contains(&other)), "{choice:?}");
         }
     }
 }
 
-/// One in three of a large service is idle because it warms up, and this instance may send to a few of those: it finds them,
-/// though the others have all that they can do.
+/// A random sample of a large service rarely includes the few endpoints that warm up, which must be found if all others
+/// are busy.
 #[test]
-fn idle_endpoints_that_warm_up_are_found_among_many() {
+fn idle_warming_endpoints_are_found_among_many() {
     let mut scene = Scene::new(true);
     scene.endpoints = (0..200)
         .map(|number| Registration {
@@ -205,18 +205,22 @@
             ..endpoints().remove(number % 9)
         })
         .collect();
-    let load = |held: &Registration| Load { calls: 24, unread: 60_000, ..Load::none(id::endpoint_tag(&held.endpoint)) };
-    let busy: Vec<Load> = scene.endpoints.iter().filter(|held| !held.warming).map(load).collect();
+    let load = |endpoint: &Registration| Load {
+        calls: 24,
+        unread: 60_000,
+        ..Load::none(id::endpoint_tag(&endpoint.endpoint))
+    };
+    let busy: Vec<Load> = scene.endpoints.iter().filter(|endpoint| !endpoint.warming).map(load).collect();
     scene.known.loads.set_others(&busy);
     for _ in 0..50 {
-        let choice = scene.choose(&[]).expect("many are there");
-        let chosen = scene.endpoints.iter().find(|held| held.endpoint == choice.endpoint);
-        assert!(chosen.is_some_and(|held| held.warming), "{choice:?}");
+        let choice = scene.choose(&[]).expect("a choice");
+        let chosen = scene.endpoints.iter().find(|endpoint| endpoint.endpoint == choice.endpoint);
+        assert!(chosen.is_some_and(|endpoint| endpoint.warming), "{choice:?}");
     }
 }
 
 #[test]
-fn one_that_has_just_started_sends_nothing_to_cold_endpoints() {
+fn a_new_instance_sends_nothing_to_cold_endpoints() {
     let now = Moment::now();
     let mut slow_start = SlowStartState::new("me".into(), now);
     slow_start.set_senders(vec!["me".into()], now);
@@ -225,12 +229,12 @@
     let policy = Policy::default().slow_start;
     assert_eq!(slow_start.allowance(&cold, warm_up, &policy, now + SECOND), Allowance::Denied);
     assert!(matches!(slow_start.allowance(&cold, warm_up, &policy, now + SECOND * 2), Allowance::Limited(_)));
-    assert_eq!(slow_start.allowance(&cold, None, &policy, now), Allowance::Unlimited, "its service names no bound");
+    assert_eq!(slow_start.allowance(&cold, None, &policy, now), Allowance::Unlimited, "its service has no slow start");
 }
 
-/// A hall's return is learned as the change of what was known; one that has just started knows nothing before.
+/// A return is a change of the known evacuations. Without an earlier state, it is reported at the first update.
 #[test]
-fn a_return_is_seen_once() {
+fn the_return_of_a_hall_is_reported_once() {
     let mut placement = placement();
     assert!(placement.set_evacuations(evacuated("a")).is_empty());
     let mut ended = Evacuations::clone(&evacuated("a"));
@@ -241,22 +245,22 @@
     assert_eq!(Placement::default().set_evacuations(ended), [HallId::from("a")]);
 }
 
-macro_rules! homes {
+macro_rules! residencies {
     ($($name:ident: $route:expr, $organisation:expr => $expected:expr;)*) => {
         $(#[test] fn $name() {
-            let organisation = Organisation { name: "o".into(), tier: None, residency: to_homes(&$organisation) };
-            let homes = residency_of(&to_route(&$route), Some(&organisation));
-            let names = homes.as_ref().map(|homes| homes.iter().map(|region| &**region).collect::<Vec<&str>>());
+            let organisation = Organisation { name: "o".into(), tier: None, residency: to_residency(&$organisation) };
+            let residency = residency_of(&to_route(&$route), Some(&organisation));
+            let names = residency.as_ref().map(|regions| regions.iter().map(|region| &**region).collect::<Vec<&str>>());
             let expected: Option<Vec<&str>> = $expected;
             assert_eq!(names, expected);
         })*
     };
 }
 
-homes! {
-    without_homes_nothing_is_bound: [], [] => None;
-    a_routes_homes_bind: ["north"], [] => Some(vec!["north"]);
-    an_organisations_homes_bind: [], ["north"] => Some(vec!["north"]);
-    both_bind_together: ["north", "south"], ["south", "east"] => Some(vec!["south"]);
-    homes_without_a_region_in_common_leave_none: ["north"], ["south"] => Some(Vec::new());
+residencies! {
+    without_regions_a_request_is_unrestricted: [], [] => None;
+    the_regions_of_a_route_apply: ["north"], [] => Some(vec!["north"]);
+    the_regions_of_an_organisation_apply: [], ["north"] => Some(vec!["north"]);
+    the_regions_of_route_and_organisation_are_intersected: ["north", "south"], ["south", "east"] => Some(vec!["south"]);
+    disjoint_regions_leave_none: ["north"], ["south"] => Some(Vec::new());
 }
