--- a/crates/rudder-gateway/tests/plain.rs
+++ b/crates/rudder-gateway/tests/plain.rs
@@ -1,4 +1,4 @@
-//! The choice among endpoints of a plain service, by counts that are more or less old.
+//! Choice among the endpoints of a plain service, depending on the age of the load reports.
 
 mod support;
 
@@ -15,7 +15,7 @@
 use support::{Known, endpoint, roster};
 
 const SLOTS: u32 = 6;
-/// Requests that ended in the last five seconds, at each endpoint: 350 a second at six of them.
+/// Requests that ended at each endpoint in the last five seconds: 350 per second at six endpoints.
 const ENDED: u32 = 290;
 
 fn plan() -> Plan {
@@ -39,7 +39,7 @@
         resumable: false,
         residency: None,
     };
-    plan.add_route(route).expect("it fits");
+    plan.add_route(route).expect("a valid route");
     plan
 }
 
@@ -48,7 +48,7 @@
     (0..count).map(endpoint).collect()
 }
 
-/// How many of 600 instances in as many halls choose each endpoint, with `calls` known at each.
+/// How often each endpoint is chosen by 600 instances, spread over the halls, given the requests in flight at each.
 fn choices(calls: &[u32], age: Duration) -> BTreeMap<String, usize> {
     let roster = roster(&endpoints(calls.len()));
     let load = |(number, calls): (usize, &u32)| {
@@ -64,36 +64,35 @@
         let (inputs, route) = (known.inputs(), known.plan.find("h", "/lock/").expect("a route"));
         let candidates = Candidates::new(roster.of("svc"), "svc", &inputs);
         let choice =
-            choose::choose(&inputs, route, "svc", &candidates, None, Eligibility::default()).expect("one is there");
+            choose::choose(&inputs, route, "svc", &candidates, None, Eligibility::default()).expect("a choice");
         *counts.entry(choice.endpoint.to_string()).or_default() += 1;
     }
     counts
 }
 
-/// All instances saw the same counts, half a second old, and sent all that came in that time to the one that looked best:
-/// it rejected them, as it had six slots.
+/// All instances see the same outdated counts, and must not overload the endpoint with the lowest one.
 #[test]
-fn old_counts_do_not_send_all_to_the_same_endpoint() {
+fn outdated_counts_do_not_send_all_requests_to_the_same_endpoint() {
     let counts = choices(&[3, 2, 0, 1, 3, 2], Duration::from_millis(400));
     assert_eq!(counts.len(), 6);
     assert!(counts.values().all(|count| *count < 200), "{counts:?}");
 }
 
 #[test]
-fn new_counts_decide() {
+fn current_counts_decide() {
     let counts = choices(&[3, 2, 0, 1, 3, 2], Duration::ZERO);
     assert_eq!(counts.get("e-2"), Some(&600));
 }
 
 #[test]
-fn an_endpoint_that_is_nearly_full_is_not_taken_for_an_idle_one() {
+fn a_full_endpoint_does_not_tie_with_an_idle_one() {
     let counts = choices(&[3, 6, 0, 1, 3, 2], Duration::from_secs(1));
     assert_eq!(counts.get("e-1"), None, "{counts:?}");
 }
 
-/// Among hundreds a few are drawn; one that was tried is not chosen again, and the last one left is found.
+/// Only a sample of hundreds is compared. Tried endpoints are excluded, and the last untried one is found.
 #[test]
-fn one_of_hundreds_is_found_that_was_not_tried() {
+fn an_untried_endpoint_is_found_among_hundreds() {
     let endpoints = endpoints(300);
     let known = Known { hall: "hall-7".into(), plan: plan(), ..Known::default() };
     let (inputs, route) = (known.inputs(), known.plan.find("h", "/lock/").expect("a route"));
@@ -102,9 +101,9 @@
         let eligible = Eligibility { tried, ..Eligibility::default() };
         choose::choose(&inputs, route, "svc", &candidates, None, eligible)
     };
-    assert_eq!(&*choose(&[]).expect("one is there").endpoint, "e-7", "the one in the instance's own hall");
-    assert_ne!(&*choose(&["e-7".into()]).expect("others are there").endpoint, "e-7");
+    assert_eq!(&*choose(&[]).expect("a choice").endpoint, "e-7", "the endpoint in the instance's own hall");
+    assert_ne!(&*choose(&["e-7".into()]).expect("a choice").endpoint, "e-7");
     let all_but_one: Vec<EndpointId> =
-        endpoints.iter().map(|held| held.endpoint.clone()).filter(|endpoint| **endpoint != *"e-123").collect();
-    assert_eq!(&*choose(&all_but_one).expect("one is left").endpoint, "e-123");
+        endpoints.iter().map(|endpoint| endpoint.endpoint.clone()).filter(|endpoint| **endpoint != *"e-123").collect();
+    assert_eq!(&*choose(&all_but_one).expect("a choice").endpoint, "e-123");
 }
