--- a/crates/rudder-gateway/tests/policy.rs
+++ b/crates/rudder-gateway/tests/policy.rs
@@ -1,4 +1,4 @@
-//! The pieces of a decision: budget, health, plan, lanes, choice, events of a stream.
+//! Retry budget, health, configuration, lanes, choice among engines, and events of a stream.
 
 mod support;
 
@@ -48,7 +48,7 @@
     plan.services
         .insert("svc".into(), Service { name: "svc".into(), connections: 100, engine, scaling: None, warm_up: None });
     for route in [route("recap", 1000, 2), route("answer", 400, 1), route("grade", 250, 0)] {
-        plan.add_route(route).expect("it fits");
+        plan.add_route(route).expect("a valid route");
     }
     plan
 }
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn repeats_stay_within_a_share_of_the_requests_and_a_part_of_the_extra() {
+fn retries_are_limited_to_a_ratio_of_the_requests_and_a_share_of_the_extra() {
     let mut budget = Budget::new(Duration::from_secs(10), 0.2, 50);
     let (service, now): (Arc<str>, _) = ("svc".into(), Moment::now());
     for _ in 0..100 {
@@ -83,28 +83,28 @@
 }
 
 #[test]
-fn an_endpoint_that_fails_is_left_out_longer_each_time_and_comes_back() {
+fn a_failing_endpoint_is_ejected_for_longer_each_time_and_returns() {
     let (mut health, now) = (Health::default(), Moment::now());
     let endpoint = "e-1".into();
     assert_eq!(health.note(&endpoint, Outcome::Failed, now), None);
-    let first = health.note(&endpoint, Outcome::Failed, now).expect("two in a row");
+    let first = health.note(&endpoint, Outcome::Failed, now).expect("an ejection after two failures");
     assert!(health.is_ejected("e-1", now));
     let after = now + first;
     assert!(!health.is_ejected("e-1", after));
-    let second = health.note(&endpoint, Outcome::Failed, after).expect("one more is enough then");
+    let second = health.note(&endpoint, Outcome::Failed, after).expect("an ejection after one more failure");
     assert!(second > first);
     health.note(&endpoint, Outcome::Good, after + second);
     assert!(!health.is_ejected("e-1", after + second));
 }
 
 #[test]
-fn an_endpoint_out_of_reach_is_left_out_at_once() {
+fn an_unreachable_endpoint_is_ejected_at_once() {
     let (mut health, now) = (Health::default(), Moment::now());
     assert!(health.note(&"e-1".into(), Outcome::Unreachable, now).is_some());
     assert!(health.note(&"e-2".into(), Outcome::Replaced, now).is_some());
 }
 
-macro_rules! judged {
+macro_rules! suspected {
     ($($(#[$meta:meta])* $name:ident: $tallies:expr => $expected:expr;)*) => {
         $($(#[$meta])* #[test] fn $name() {
             let tally = |(number, (ended, failed)): (usize, (u32, u32))| {
@@ -119,14 +119,14 @@
     };
 }
 
-judged! {
-    one_that_fails_where_others_do_not_is_suspect: [(10, 4), (10, 0), (12, 1), (9, 0)] => ["0"];
-    few_failures_are_no_proof: [(4, 2), (10, 0), (12, 0)] => [];
-    where_most_fail_it_is_the_requests: [(10, 4), (10, 5), (12, 5), (10, 0)] => [];
-    what_the_others_fail_as_well_is_no_mark: [(40, 10), (40, 9), (40, 9), (40, 9)] => [];
-    /// Were all of them left out, the rest would not bear the load.
+suspected! {
+    an_endpoint_that_fails_more_often_than_others_is_suspect: [(10, 4), (10, 0), (12, 1), (9, 0)] => ["0"];
+    few_failures_are_not_suspect: [(4, 2), (10, 0), (12, 0)] => [];
+    none_is_suspect_if_most_fail: [(10, 4), (10, 5), (12, 5), (10, 0)] => [];
+    none_is_suspect_if_all_fail_alike: [(40, 10), (40, 9), (40, 9), (40, 9)] => [];
+    /// Without this limit, the remaining endpoints would be overloaded.
     at_most_two_in_five_are_suspect: [(9, 9), (9, 8), (9, 7), (9, 0), (9, 0), (9, 0)] => ["0", "1"];
-    the_unused_are_neither_suspect_nor_a_measure: [(10, 9), (0, 0), (0, 0), (10, 0)] => ["0"];
+    unused_endpoints_do_not_count: [(10, 9), (0, 0), (0, 0), (10, 0)] => ["0"];
 }
 
 #[test]
@@ -141,9 +141,9 @@
     assert_eq!(recent.endpoints().count(), 0);
 }
 
-/// One of many instances sends few requests to one endpoint; with the others' outcomes it learns at once.
+/// A single instance sends too few requests to an endpoint to detect its failure soon.
 #[test]
-fn outcomes_told_by_others_count_as_own() {
+fn reported_outcomes_count_like_own_ones() {
     let (mut endpoint_loads, now) = (EndpointLoads::default(), Moment::now());
     endpoint_loads.note_end(&"e-1".into(), true, now);
     assert_eq!(endpoint_loads.to_loads(now), vec![Load { ended: 1, failed: 1, ..Load::none(id::endpoint_tag("e-1")) }]);
@@ -152,11 +152,11 @@
 }
 
 #[test]
-fn the_longest_prefix_serves_a_path() {
+fn the_longest_matching_prefix_is_found() {
     let mut plan = plan();
     let mut deeper = route("recap", 1000, 2);
     (deeper.name, deeper.prefix) = ("deeper".into(), "/recap/deep/".into());
-    plan.add_route(deeper).expect("it fits");
+    plan.add_route(deeper).expect("a valid route");
     let name = |path: &str| plan.find("h", path).map(|route| route.name.to_string());
     assert_eq!(name("/recap/deep/x").as_deref(), Some("deeper"));
     assert_eq!(name("/recap/x").as_deref(), Some("recap"));
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn what_cannot_stand_together_is_refused() {
+fn inconsistent_configurations_are_rejected() {
     let mut plan = plan();
     assert!(matches!(plan.add_route(route("recap", 1, 1)), Err(Fault::SamePlace { .. })));
     let mut stray = route("stray", 1, 1);
@@ -178,12 +178,13 @@
     timeless.timeout = Duration::ZERO;
     assert!(matches!(plan.add_route(timeless), Err(Fault::NoTimeout(_))));
     let organisation = |name: &str| Organisation { name: name.into(), tier: None, residency: None };
-    plan.add_organisation(organisation("one"), vec!["k".into(), "k".into()]).expect("its own key twice");
+    plan.add_organisation(organisation("one"), vec!["k".into(), "k".into()])
+        .expect("a repeated key of the same organisation");
     assert!(matches!(plan.add_organisation(organisation("two"), vec!["k".into()]), Err(Fault::SharedKey(..))));
 }
 
 #[test]
-fn lanes_follow_the_pauses_that_routes_allow() {
+fn lanes_follow_the_pause_targets_of_routes() {
     let plan = plan();
     let policy = LanePolicy::default();
     let is_quick = |path: &str| {
@@ -207,7 +208,7 @@
     assert_eq!([size(0), size(64)], [2, 4]);
 }
 
-/// With few engines set apart of many, the loss of one took a sixth of the quick streams.
+/// In a smaller lane, the loss of one engine ends too many quick streams.
 #[test]
 fn the_quick_lane_is_a_fifth_of_many_engines() {
     let size = |count: usize| {
@@ -217,9 +218,9 @@
     assert_eq!([size(2), size(6), size(9), size(12), size(90)], [1, 2, 2, 2, 18]);
 }
 
-/// Quick streams stay in their hall, so a lane that has most of its engines in one hall is not balanced.
+/// Quick streams stay in their hall, so an uneven lane would overload some halls.
 #[test]
-fn the_quick_lane_has_as_many_engines_in_each_hall() {
+fn the_quick_lane_is_spread_evenly_over_halls() {
     let mut engines = engines(90);
     for (number, engine) in engines.iter_mut().enumerate() {
         engine.hall = format!("hall-{}", number % 3).as_str().into();
@@ -230,7 +231,7 @@
 }
 
 #[test]
-fn all_instances_draw_the_same_line() {
+fn lanes_do_not_depend_on_the_order_of_engines() {
     let mut engines = engines(9);
     let names = |engines: &[Registration]| -> Vec<String> {
         let lanes = lanes::divide(&LanePolicy::default(), engines.iter().collect(), "svc", &EndpointLoads::default());
@@ -269,23 +270,23 @@
     }
 }
 
-/// An organisation's rank goes first; among its equals an engine preempts the long prompts, not the urgent streams.
+/// Among requests of organisations of equal priority, engines have to preempt long prompts before urgent streams.
 #[test]
-fn engines_rank_by_organisation_and_then_by_route() {
+fn priority_is_by_organisation_and_then_by_route() {
     let plan = plan();
     let rank = |path: &str, tier: u8| plan.engine_rank(plan.find("h", path).expect("a route"), tier);
     let order = [rank("/grade/", 0), rank("/answer/", 0), rank("/recap/", 0), rank("/grade/", 1), rank("/recap/", 1)];
     assert_eq!(order, [0, 1, 2, 3, 5]);
 }
 
-macro_rules! quickest_pause {
+macro_rules! quick_bounds {
     ($($(#[$meta:meta])* $name:ident: [$($pause:literal),+] of $tokens:literal tokens => $expected:expr;)*) => {
         $($(#[$meta])* #[test] fn $name() {
             let mut plan = Plan::new(1, Limits::default());
             let engine = Some(Engine { slots: 64, memory: 300_000, copies: true, event_tokens: $tokens, move_speed: 0.0 });
             plan.services.insert("svc".into(), Service { name: "svc".into(), connections: 100, engine, scaling: None, warm_up: None });
             for pause in [$($pause),+] {
-                plan.add_route(route(&format!("p{pause}"), pause, 0)).expect("it fits");
+                plan.add_route(route(&format!("p{pause}"), pause, 0)).expect("a valid route");
             }
             let bound = lanes::quick_bound(&LanePolicy::default(), &plan, "svc", &PrefillSpeeds::default());
             assert_eq!(bound.map(|bound| bound.as_millis()), $expected);
@@ -293,98 +294,97 @@
     };
 }
 
-// Before anything was measured an engine reads 30 tokens a millisecond, a piece in 68 ms.
-quickest_pause! {
-    pauses_far_shorter_than_the_longest_are_quick: [1000, 400, 250] of 6 tokens => Some(300);
-    /// Three tokens beside constant reading take 205 ms: the streams of 200 ms need engines of their own.
-    the_shortest_is_quick_where_reading_makes_such_pauses: [300, 200] of 3 tokens => Some(200);
-    generous_pauses_need_no_lane: [5000, 2000] of 3 tokens => None;
-    one_pause_needs_no_lane: [200] of 3 tokens => None;
+// At the initial prefill speed of 30 tokens per millisecond, a chunk takes 68 ms.
+quick_bounds! {
+    pause_targets_far_below_the_longest_are_quick: [1000, 400, 250] of 6 tokens => Some(300);
+    /// Under constant prefill, an event of three tokens takes 205 ms.
+    the_shortest_pause_target_is_quick_if_prefill_would_miss_it: [300, 200] of 3 tokens => Some(200);
+    long_pause_targets_need_no_lane: [5000, 2000] of 3 tokens => None;
+    a_single_pause_target_needs_no_lane: [200] of 3 tokens => None;
 }
 
-/// Loads the engine that keeps a session until the session goes elsewhere, and returns what is chosen then, with the
-/// address of that engine.
-fn choose_away(move_speed: f64, sessions: bool) -> (Choice, Arc<str>) {
+/// Overloads the engine of a session, and returns the resulting choice and the address of that engine.
+fn choose_with_busy_home(move_speed: f64, sessions: bool) -> (Choice, Arc<str>) {
     let mut scene = Scene::new();
     let engine = Engine { slots: 64, memory: 300_000, copies: true, event_tokens: 6, move_speed };
-    scene.known.plan.services.get_mut("svc").expect("it is there").engine = Some(engine);
+    scene.known.plan.services.get_mut("svc").expect("a service").engine = Some(engine);
     scene.known.policy.choice.sessions = sessions;
     let home = scene.choice("/recap/", &prompt(7), &[]).expect("a choice");
     let busy: Vec<Load> = scene
         .engines
         .iter()
-        .filter(|held| held.endpoint == home.endpoint)
-        .map(|held| load(&held.endpoint, 30, 90_000))
+        .filter(|engine| engine.endpoint == home.endpoint)
+        .map(|engine| load(&engine.endpoint, 30, 90_000))
         .collect();
     scene.known.loads.set_others(&busy);
     (scene.choice("/recap/", &prompt(7), &[]).expect("a choice"), home.address)
 }
 
-/// Four quick engines had 150 requests each for 64 slots while five others had next to nothing to do.
+/// Requests must not queue in a full quick lane while engines of the other lane are idle.
 #[test]
-fn quick_streams_leave_a_lane_whose_slots_are_in_use() {
+fn quick_streams_overflow_from_a_crowded_lane() {
     let mut scene = Scene::new();
     let lane = |scene: &Scene| -> Vec<EndpointId> {
         let lanes = lanes::divide(&LanePolicy::default(), scene.engines.iter().collect(), "svc", &scene.known.loads);
-        lanes.quick.iter().map(|held| held.endpoint.clone()).collect()
+        lanes.quick.iter().map(|engine| engine.endpoint.clone()).collect()
     };
     let fill = |scene: &mut Scene, calls: u32| {
         let quick = lane(scene);
-        let calls_at = |held: &Registration| if quick.contains(&held.endpoint) { calls } else { 3 };
-        let loads: Vec<Load> = scene.engines.iter().map(|held| load(&held.endpoint, calls_at(held), 0)).collect();
+        let calls_at = |engine: &Registration| if quick.contains(&engine.endpoint) { calls } else { 3 };
+        let loads: Vec<Load> = scene.engines.iter().map(|engine| load(&engine.endpoint, calls_at(engine), 0)).collect();
         scene.known.loads.set_others(&loads);
     };
     for _ in 0..4 {
         fill(&mut scene, 40);
     }
     let chosen = scene.choice("/grade/", &prompt(3), &[]).expect("a choice").endpoint;
-    assert!(lane(&scene).contains(&chosen), "slots are free in its lane");
+    assert!(lane(&scene).contains(&chosen), "its lane has free slots");
     fill(&mut scene, 60);
     let chosen = scene.choice("/grade/", &prompt(3), &[]).expect("a choice").endpoint;
-    assert!(!lane(&scene).contains(&chosen), "it would wait for a slot in its lane");
+    assert!(!lane(&scene).contains(&chosen), "it would queue for a slot in its lane");
     scene.known.policy.lanes.overflow = 0.0;
     let chosen = scene.choice("/grade/", &prompt(3), &[]).expect("a choice").endpoint;
-    assert!(lane(&scene).contains(&chosen), "switched off");
+    assert!(lane(&scene).contains(&chosen), "overflow is disabled");
 }
 
 #[test]
-fn what_goes_elsewhere_takes_its_session_along() {
-    let (away, home) = choose_away(280.0, true);
+fn a_request_away_from_its_session_fetches_the_cached_prompt() {
+    let (away, home) = choose_with_busy_home(280.0, true);
     assert_ne!(away.address, home);
     assert_eq!(away.fetch_from, Some(home));
-    // The session's part is not read again, only the request's own.
+    // Only the request's own part needs prefill.
     assert_eq!(away.unread, 2900);
 }
 
-/// Engines come and leave, and what kept the session before is the next by its hash then.
+/// After an engine joins, the one that served the session before is the next in rank.
 #[test]
-fn the_engine_of_a_session_takes_what_it_lacks_from_the_next() {
+fn the_engine_of_a_session_fetches_from_the_next_in_rank() {
     let mut scene = Scene::new();
     let engine = Engine { slots: 64, memory: 300_000, copies: true, event_tokens: 6, move_speed: 280.0 };
-    scene.known.plan.services.get_mut("svc").expect("it is there").engine = Some(engine);
+    scene.known.plan.services.get_mut("svc").expect("a service").engine = Some(engine);
     let home = scene.choice("/recap/", &prompt(7), &[]).expect("a choice");
-    let before: Vec<EndpointId> = scene.engines.iter().map(|held| held.endpoint.clone()).collect();
-    scene.engines.retain(|held| held.endpoint != home.endpoint);
+    let before: Vec<EndpointId> = scene.engines.iter().map(|engine| engine.endpoint.clone()).collect();
+    scene.engines.retain(|engine| engine.endpoint != home.endpoint);
     let next = scene.choice("/recap/", &prompt(7), &[]).expect("a choice");
     assert!(before.contains(&next.endpoint));
     assert_eq!(home.fetch_from, Some(next.address));
 }
 
 #[test]
-fn a_session_is_read_again_where_moving_it_takes_longer() {
-    let (away, home) = choose_away(5.0, true);
+fn a_session_is_not_fetched_if_prefill_is_faster() {
+    let (away, home) = choose_with_busy_home(5.0, true);
     assert_ne!(away.address, home);
     assert_eq!(away.fetch_from, None);
     assert!(away.unread > 2900, "{away:?}");
 }
 
 #[test]
-fn without_sessions_nothing_is_taken_along() {
-    assert_eq!(choose_away(280.0, false).0.fetch_from, None);
+fn without_session_affinity_nothing_is_fetched() {
+    assert_eq!(choose_with_busy_home(280.0, false).0.fetch_from, None);
 }
 
 #[test]
-fn a_session_keeps_its_engine_until_that_has_far_more_to_read() {
+fn a_session_stays_at_its_engine_until_that_has_far_more_to_prefill() {
     let mut scene = Scene::new();
     let prompt = prompt(77);
     let home = scene.choose("/recap/", &prompt, &[]).expect("a choice");
@@ -393,10 +393,10 @@
     }
     scene.known.loads.set_others(&[load(&home, 3, 14_000)]);
     let kept = scene.choose("/recap/", &prompt, &[]).expect("a choice");
-    assert_eq!(kept, home, "half of 3,800 tokens read again are worse than 14,000 tokens ahead");
+    assert_eq!(kept, home, "prefill of half of 3,800 tokens costs more than 14,000 queued tokens");
     scene.known.loads.set_others(&[load(&home, 3, 16_000)]);
     let second = scene.choose("/recap/", &prompt, &[]).expect("a choice");
-    assert_ne!(second, home, "its second engine may keep some of it and has nothing to read");
+    assert_ne!(second, home, "the second engine may have part of it cached and is idle");
     for _ in 0..20 {
         assert_eq!(scene.choose("/recap/", &prompt, &[]).as_deref(), Some(second.as_str()));
     }
@@ -405,9 +405,9 @@
     assert!(third != home && third != second);
 }
 
-/// The cost of reading again is bounded by the target, so that a long session is not waited for until it is late.
+/// The cost of missing tokens is bounded by the target, so that affinity does not make a long session late.
 #[test]
-fn a_long_session_leaves_its_engines_before_it_is_late() {
+fn a_long_session_leaves_its_engine_before_missing_its_target() {
     let mut scene = Scene::new();
     let part = |id, tokens| PromptPart { id, tokens };
     let prompt = Prompt { tokens: 16_500, parts: vec![part(1, 2500), part(5, 11_000), part(9, 3000)], ..prompt(5) };
@@ -425,7 +425,7 @@
     assert_ne!(scene.choose("/recap/", &prompt, &[]).as_deref(), Some(home.as_str()));
 }
 
-/// A packet lost between halls costs a quick stream the whole pause that it allows.
+/// A retransmission between halls takes about as long as the pause target of a quick stream.
 #[test]
 fn quick_streams_stay_in_their_hall_until_it_is_busy() {
     let mut scene = Scene::new();
@@ -434,28 +434,28 @@
         engine.hall = if number % 3 == 0 { "a".into() } else { "b".into() };
     }
     let lane = lanes::divide(&LanePolicy::default(), scene.engines.iter().collect(), "svc", &scene.known.loads).quick;
-    let near: Vec<String> =
-        lane.iter().filter(|held| &*held.hall == "a").map(|held| held.endpoint.to_string()).collect();
-    assert!(!near.is_empty() && near.len() < lane.len(), "the lane has engines in both halls: {near:?}");
+    let local: Vec<String> =
+        lane.iter().filter(|engine| &*engine.hall == "a").map(|engine| engine.endpoint.to_string()).collect();
+    assert!(!local.is_empty() && local.len() < lane.len(), "the lane has engines in both halls: {local:?}");
     let part = |id, tokens| PromptPart { id, tokens };
     let prompt =
         |session| Prompt { tokens: 700, parts: vec![part(1, 100), part(session, 70), part(9, 530)], ..prompt(5) };
     for session in 0..50 {
         let chosen = scene.choose("/grade/", &prompt(session + 2), &[]).expect("a choice");
-        assert!(near.contains(&chosen), "{chosen}");
+        assert!(local.contains(&chosen), "{chosen}");
     }
-    let busy: Vec<Load> = near.iter().map(|endpoint| load(endpoint, 30, 1000)).collect();
+    let busy: Vec<Load> = local.iter().map(|endpoint| load(endpoint, 30, 1000)).collect();
     scene.known.loads.set_others(&busy);
-    let far = (0..50).filter(|session| {
+    let remote = (0..50).filter(|session| {
         let chosen = scene.choose("/grade/", &prompt(session + 2), &[]).expect("a choice");
-        !near.contains(&chosen)
+        !local.contains(&chosen)
     });
-    assert!(far.count() > 40);
+    assert!(remote.count() > 40);
 }
 
-/// A copy costs what it copies, and pays for streams that are under way for long.
+/// Copies cost bandwidth, and pay off for long streams only.
 #[test]
-fn only_long_quick_streams_have_their_memory_copied() {
+fn only_long_quick_streams_have_a_backup() {
     let scene = Scene::new();
     let backup = |path: &str, answer_hint: Option<u32>| {
         let prompt = Prompt { max_answer: 2000, answer_hint, ..prompt(5) };
@@ -468,17 +468,17 @@
     assert_eq!(backup("/recap/", Some(900)), None);
 }
 
-/// On the third deployment a token's memory is eighteen times as large, and copies cost what they saved.
+/// Copies over slow links cost more than they save.
 #[test]
-fn memory_that_is_dear_to_move_is_not_copied() {
+fn there_is_no_backup_if_transfer_is_slow() {
     let mut scene = Scene::new();
     let engine = Engine { slots: 64, memory: 300_000, copies: true, event_tokens: 6, move_speed: 280.0 };
-    scene.known.plan.services.get_mut("svc").expect("it is there").engine = Some(engine);
+    scene.known.plan.services.get_mut("svc").expect("a service").engine = Some(engine);
     let prompt = Prompt { max_answer: 2000, ..prompt(5) };
     assert_eq!(scene.choice("/grade/", &prompt, &[]).expect("a choice").backup, None);
 }
 
-/// Their sessions are a few dozen tokens: two engines named by a hash took all streams of a busy one.
+/// Affinity must not concentrate a busy session with a short shared prompt on two engines.
 #[test]
 fn quick_streams_of_one_session_use_the_whole_lane() {
     let mut scene = Scene::new();
@@ -498,7 +498,7 @@
 }
 
 #[test]
-fn long_prompts_and_quick_streams_never_meet() {
+fn long_prompts_and_quick_streams_use_disjoint_engines() {
     let scene = Scene::new();
     let mut recaps: Vec<String> = (0..200).filter_map(|s| scene.choose("/recap/", &prompt(s + 2), &[])).collect();
     let mut grades: Vec<String> = (0..200).filter_map(|s| scene.choose("/grade/", &prompt(s + 2), &[])).collect();
@@ -511,7 +511,7 @@
 }
 
 #[test]
-fn the_tried_the_leaving_and_the_failing_get_nothing() {
+fn tried_draining_and_failing_engines_are_excluded() {
     let mut scene = Scene::new();
     let prompt = prompt(5);
     let home = scene.choose("/recap/", &prompt, &[]).expect("a choice");
@@ -523,11 +523,11 @@
     }
     assert_eq!(scene.choose("/recap/", &prompt, &[]), None);
     scene.engines[4].phase = Phase::Silent;
-    assert_eq!(scene.choose("/recap/", &prompt, &[]).as_deref(), Some("e-4"), "the silent one is better than none");
+    assert_eq!(scene.choose("/recap/", &prompt, &[]).as_deref(), Some("e-4"), "a silent engine is the fallback");
 }
 
 #[test]
-fn reading_speed_follows_what_is_measured_behind_a_load() {
+fn prefill_speed_follows_samples_under_load() {
     let mut prefill = PrefillSpeeds::default();
     let service: Arc<str> = "svc".into();
     let before = prefill.time_for("svc", 30_000);
@@ -541,16 +541,16 @@
 }
 
 #[test]
-fn events_are_whole_whatever_the_pieces() {
+fn events_are_complete_for_any_chunk_size() {
     let text = b"id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 7\ndata: c\n\nid: 8\nda";
     for size in 1..text.len() {
         let mut events = Events::default();
         let mut passed = Vec::new();
-        for piece in text.chunks(size) {
-            passed.extend_from_slice(&events.push(piece));
+        for chunk in text.chunks(size) {
+            passed.extend_from_slice(&events.push(chunk));
         }
-        assert_eq!((events.count, events.last), (3, Some(7)), "pieces of {size}");
-        assert_eq!(passed, &text[..text.len() - 8], "pieces of {size}");
+        assert_eq!((events.count, events.last), (3, Some(7)), "chunks of {size}");
+        assert_eq!(passed, &text[..text.len() - 8], "chunks of {size}");
         assert_eq!(events.pending(), b"id: 8\nda");
     }
 }
