--- a/crates/rudder-gateway/benches/choice.rs
+++ b/crates/rudder-gateway/benches/choice.rs
@@ -1,4 +1,4 @@
-//! What a choice costs by the number of endpoints, and what is done a few times a second so that it costs no more.
+//! Cost of a choice, and of the periodic work that it depends on, by the number of endpoints.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -27,7 +27,7 @@
     divan::main();
 }
 
-/// A service with its endpoints, half of them busy, and a route of each kind.
+/// A service of which half the endpoints are busy, with a quick and a slow route.
 struct Scene {
     roster: Roster,
     loads: Vec<Load>,
@@ -38,8 +38,8 @@
     fn new(count: usize, engines: bool) -> Scene {
         let endpoints: Vec<Registration> =
             (0..count).map(|number| endpoint(number, &format!("hall-{}", number % 3))).collect();
-        let load = |held: &Registration| Load {
-            endpoint: id::endpoint_tag(&held.endpoint),
+        let load = |endpoint: &Registration| Load {
+            endpoint: id::endpoint_tag(&endpoint.endpoint),
             calls: 9,
             unread: 4_000,
             held: 60_000,
@@ -89,7 +89,7 @@
             resumable: false,
             residency: None,
         };
-        plan.add_route(route).expect("it fits");
+        plan.add_route(route).expect("a valid route");
     }
     plan
 }
@@ -130,7 +130,7 @@
 }
 
 #[divan::bench(args = ENDPOINTS)]
-fn take_loads(bencher: Bencher, count: usize) {
+fn set_loads(bencher: Bencher, count: usize) {
     let mut scene = Scene::new(count, true);
     let loads = scene.loads.clone();
     bencher.bench_local(|| scene.known.loads.set_others(black_box(&loads)));
--- a/crates/rudder-gateway/benches/publish.rs
+++ b/crates/rudder-gateway/benches/publish.rs
@@ -1,4 +1,4 @@
-//! One change of the registry on its way to the traffic thread: copies of all endpoints and the roster made of them.
+//! Cost of publishing a registry change to the traffic thread: copies of all endpoints and a new roster.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -15,7 +15,7 @@
     divan::main();
 }
 
-/// A registry of so many endpoints.
+/// A registry with this many endpoints.
 fn registry(endpoints: usize) -> Registry {
     let mut registry = Registry::default();
     for number in 0..endpoints {
@@ -26,28 +26,28 @@
     registry
 }
 
-/// Copies for the control thread and for traffic, and the roster, of these many endpoints.
+/// The copies for the control thread and for the traffic thread, and the roster.
 #[divan::bench(args = [200, 3_000, 12_000])]
 fn publish(bencher: Bencher, endpoints: usize) {
     let registry = registry(endpoints);
     bencher.bench_local(|| {
-        let kept: Vec<Arc<Registration>> = registry.iter().cloned().collect();
-        let published = kept.clone();
+        let control: Vec<Arc<Registration>> = registry.iter().cloned().collect();
+        let published = control.clone();
         let roster = Roster::new(published.iter().cloned());
-        black_box((kept, published, roster))
+        black_box((control, published, roster))
     });
 }
 
-/// The leader's answer to one that lacks one change of these many endpoints.
+/// The leader's update for an instance that lacks one change.
 #[divan::bench(args = [200, 3_000, 12_000])]
 fn answer(bencher: Bencher, endpoints: usize) {
     let mut registry = registry(endpoints);
     registry.begin_term(Duration::ZERO, 1);
-    let (held, hall) = (registry.version(), "hall-0".into());
-    let first = registry.iter().next().expect("some are there").clone();
+    let (known_version, hall) = (registry.version(), "hall-0".into());
+    let first = registry.iter().next().expect("an endpoint").clone();
     registry.record_heartbeat_as_leader(
         Duration::ZERO,
         &Registration { sequence: 2, slots: 65, ..Registration::clone(&first) },
     );
-    bencher.bench_local(|| black_box(registry.delta_since(held, &hall, None)));
+    bencher.bench_local(|| black_box(registry.delta_since(known_version, &hall, None)));
 }
