--- a/crates/rudder-gateway/tests/candidates.rs
+++ b/crates/rudder-gateway/tests/candidates.rs
@@ -43,7 +43,7 @@
         assert_eq!(top_ranked(&rest, session, "")[0], before[1], "the second engine takes over");
         assert_eq!(top_ranked(&engines, session, &lost)[0], before[1], "the same if the first engine is skipped");
         let other =
-            engines.iter().find(|engine| !before.contains(&engine.endpoint)).expect("many are there").endpoint.clone();
+            engines.iter().find(|engine| !before.contains(&engine.endpoint)).expect("another engine").endpoint.clone();
         let rest: Vec<Registration> = engines.iter().filter(|engine| engine.endpoint != other).cloned().collect();
         assert_eq!(top_ranked(&rest, session, ""), before);
     }
