--- a/crates/rudder-gateway/src/body.rs
+++ b/crates/rudder-gateway/src/body.rs
@@ -12,7 +12,7 @@
 /// The answer broke off: its connection ends so that it cannot look complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the answer broke off")]
-pub struct Broken;
+pub struct Interrupted;
 
 /// The body of an answer.
 #[derive(Debug)]
@@ -20,7 +20,7 @@
     /// All of it, once.
     Whole(Option<Bytes>),
     /// Parts as they come.
-    Parts(mpsc::Receiver<Result<Bytes, Broken>>),
+    Parts(mpsc::Receiver<Result<Bytes, Interrupted>>),
 }
 
 impl AnswerBody {
@@ -33,9 +33,9 @@
 
 impl Body for AnswerBody {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = Interrupted;
 
-    fn poll_frame(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    fn poll_frame(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Interrupted>>> {
         match self.get_mut() {
             AnswerBody::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
             AnswerBody::Parts(parts) => parts.poll_recv(context).map(|part| part.map(|part| part.map(Frame::data))),
--- a/crates/rudder-gateway/src/call/admit.rs
+++ b/crates/rudder-gateway/src/call/admit.rs
@@ -23,9 +23,9 @@
 };
 
 /// A caller that named no deadline waits this long at most.
-const DEADLINE: Duration = Duration::from_secs(60);
+const DEFAULT_DEADLINE: Duration = Duration::from_secs(60);
 /// How long a request waits for proof that its route or key does not exist.
-const DENIAL_WAIT: Duration = Duration::from_millis(400);
+const DENIAL_PROOF_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// What stands at a place and for a key under one plan.
 fn admit(plan: &Plan, head: &CallHead, host: &str, path: &str) -> Result<(Arc<Route>, Option<usize>), Refusal> {
@@ -47,26 +47,26 @@
     head: CallHead,
     body: Incoming,
 ) -> Result<Call, Refusal> {
-    let come_back = shared.recovers_in();
-    let host = to_host(&parts);
+    let retry_after = shared.recovers_in();
+    let host = host_of(&parts);
     let path = parts.uri.path();
-    let Some(mut plan) = shared.current_plan() else { return Err(not_run("no configuration yet", come_back)) };
+    let Some(mut plan) = shared.current_plan() else { return Err(not_run("no configuration yet", retry_after)) };
     let mut admitted = admit(&plan, &head, &host, path);
-    if admitted.is_err() && !shared.is_fresh(shared.options.fresh_denial) {
-        if !shared.prove(arrived, DENIAL_WAIT).await {
-            return Err(not_run("the configuration may be old", come_back));
+    if admitted.is_err() && !shared.is_fresh(shared.options.max_denial_proof_age) {
+        if !shared.prove(arrived, DENIAL_PROOF_TIMEOUT).await {
+            return Err(not_run("the configuration may be old", retry_after));
         }
         plan = shared.current_plan().unwrap_or(plan);
         admitted = admit(&plan, &head, &host, path);
     }
     let (route, holder) = admitted?;
     let organisation = holder.and_then(|number| plan.organisations.as_ref()?.get(number));
-    let allowed = head.deadline.unwrap_or(DEADLINE).min(route.timeout);
-    let until = arrived + allowed;
+    let allowed = head.deadline.unwrap_or(DEFAULT_DEADLINE).min(route.timeout);
+    let deadline = arrived + allowed;
     let tier = organisation.and_then(|organisation| organisation.tier).unwrap_or(route.tier);
     let residency = residency_of(&route, organisation);
     let organisation = organisation.map(|organisation| organisation.name.clone());
-    let body = read_body(shared, body, plan.limits.body, until).await?;
+    let body = read_body(shared, body, plan.limits.body, deadline).await?;
     let caller = organisation.as_deref().unwrap_or_default();
     let target = parts.uri.path_and_query().map_or(path, PathAndQuery::as_str);
     let content = content_tag(caller, parts.method.as_str(), &host, target, &body);
@@ -86,7 +86,7 @@
     Ok(Call {
         id: head.id,
         arrived,
-        until,
+        deadline,
         route,
         organisation,
         tier,
@@ -105,7 +105,7 @@
     })
 }
 
-fn to_host(parts: &request::Parts) -> String {
+fn host_of(parts: &request::Parts) -> String {
     let named = parts.headers.get(header::HOST).and_then(|host| host.to_str().ok());
     let host = named.or_else(|| parts.uri.host()).unwrap_or_default();
     host.split(':').next().unwrap_or_default().to_ascii_lowercase()
@@ -115,13 +115,13 @@
     shared: &Shared<D>,
     body: Incoming,
     limit: usize,
-    until: Moment,
+    deadline: Moment,
 ) -> Result<Bytes, Refusal> {
-    match timeout_at(until, read_whole(&shared.holdings, body, limit, Reads::Request)).await {
+    match timeout_at(deadline, read_whole(&shared.holdings, body, limit, Reads::Request)).await {
         Ok(Ok(body)) => Ok(body),
         Ok(Err(Unread::TooLarge)) => Err(denied(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large")),
         Ok(Err(Unread::Broken)) => Err(denied(StatusCode::BAD_REQUEST, "the body cannot be read")),
-        Ok(Err(Unread::Full)) => Err(not_run("too much is held for others", shared.options.come_back)),
+        Ok(Err(Unread::Full)) => Err(not_run("too much is held for others", shared.options.retry_after)),
         Err(_) => Err(denied(StatusCode::REQUEST_TIMEOUT, "the body did not come in time")),
     }
 }
--- a/crates/rudder-gateway/src/call/attempt.rs
+++ b/crates/rudder-gateway/src/call/attempt.rs
@@ -12,11 +12,11 @@
 use rudder_model::{EndpointId, Ran, RequestRate};
 
 use super::{
-    Call, Failure, Leg, Progress, Refusal, Resume,
-    limit::take_permit,
-    note_begun, note_if_ended,
-    permit::{check_not_hopeless, check_still_allowed, may_give_up, to_wait},
-    send::WHOLE,
+    Call, EndpointAnswer, Failure, Progress, Refusal, ResumePoint,
+    checks::{check_not_hopeless, check_still_allowed, expected_wait, take_retry_for_silent},
+    rate_limit::take_permit,
+    record_begun, record_if_ended,
+    send::MAX_BUFFERED_ANSWER,
 };
 use crate::{
     Dialect,
@@ -32,39 +32,49 @@
 /// Attempts that may end before anything is written until a request is refused: no connection comes up, or the endpoint's
 /// rate limit is used up. An endpoint that has ended refuses a connection at once, so that many cost next to nothing; a rack
 /// of them must not be taken for all.
-pub(super) const UNSENT_MOST: u32 = 12;
+pub(super) const MAX_UNSENT_ATTEMPTS: u32 = 12;
 
 /// Records that an endpoint did not run the request.
-pub(super) async fn note_not_run<D: Dialect>(shared: &Shared<D>, call: &Call, progress: &mut Progress, leg: Leg) {
-    progress.ran = progress.ran.saturating_sub(1);
-    let misdirected = leg.head.misdirected;
+pub(super) async fn record_not_run<D: Dialect>(
+    shared: &Shared<D>,
+    call: &Call,
+    progress: &mut Progress,
+    answer: EndpointAnswer,
+) {
+    progress.possible_runs = progress.possible_runs.saturating_sub(1);
+    let misdirected = answer.head.misdirected;
     log_failure(
         shared,
         call,
         progress,
-        &leg.choice,
+        &answer.choice,
         if misdirected { "another has its address" } else { "it is full" },
         Ran::No,
     );
     if misdirected {
-        note_outcome(shared, &leg.choice.endpoint, Outcome::Replaced);
+        record_outcome(shared, &answer.choice.endpoint, Outcome::Replaced);
     }
-    let Leg { choice, response, head, connection, flight, .. } = leg;
+    let EndpointAnswer { choice, response, head, connection, flight, .. } = answer;
     let (_, body) = response.into_parts();
-    let drained = timeout_at(call.until, Limited::new(body, WHOLE).collect()).await;
+    let drained = timeout_at(call.deadline, Limited::new(body, MAX_BUFFERED_ANSWER).collect()).await;
     drop(flight);
     if matches!(drained, Ok(Ok(_))) && !misdirected {
-        put_back(shared, &choice.endpoint, connection, head.keep_alive);
+        return_connection(shared, &choice.endpoint, connection, head.keep_alive);
     }
 }
 
 /// Keeps a connection for the next request.
-pub fn put_back<D: Dialect>(shared: &Shared<D>, endpoint: &EndpointId, connection: Connection, keep: Option<Duration>) {
+pub fn return_connection<D: Dialect>(
+    shared: &Shared<D>,
+    endpoint: &EndpointId,
+    connection: Connection,
+    keep: Option<Duration>,
+) {
     shared.pool.borrow_mut().put(endpoint, connection, keep, Moment::now());
 }
 
 /// Records how a request ended at an endpoint.
-pub fn note_outcome<D: Dialect>(shared: &Shared<D>, endpoint: &EndpointId, outcome: Outcome) {
+pub fn record_outcome<D: Dialect>(shared: &Shared<D>, endpoint: &EndpointId, outcome: Outcome) {
     let failed = matches!(outcome, Outcome::Failed | Outcome::Unreachable);
     shared.balance.borrow_mut().note_end(endpoint, failed, Moment::now());
     if !shared.options.policy.guard.ejection && outcome != Outcome::Replaced {
@@ -73,7 +83,7 @@
     let pause = shared.health.borrow_mut().note(endpoint, outcome, Moment::now());
     if let Some(pause) = pause {
         shared.fields.borrow_mut().clear();
-        shared.metrics.note_ejection();
+        shared.metrics.record_ejection();
         let why = format!("{outcome:?}").to_lowercase();
         shared.log.write(What::Ejected { endpoint: endpoint.clone(), why, pause });
     }
@@ -105,11 +115,11 @@
     shared: &Rc<Shared<D>>,
     call: &Call,
     progress: &mut Progress,
-    from: Resume,
-) -> Result<Result<Leg, Failure>, Refusal> {
-    let Some(choice) = pick(shared, call, progress) else {
-        progress.unsent = UNSENT_MOST;
-        return Ok(Err(Failure::Unsent(unavailable_reason(shared, call))));
+    from: ResumePoint,
+) -> Result<Result<EndpointAnswer, Failure>, Refusal> {
+    let Some(choice) = choose_endpoint(shared, call, progress) else {
+        progress.unsent_attempts = MAX_UNSENT_ATTEMPTS;
+        return Ok(Err(Failure::NotSent(unavailable_reason(shared, call))));
     };
     if progress.sent == 0 {
         check_not_hopeless(shared, call, &choice)?;
@@ -117,23 +127,23 @@
     let permit = match take_permit(shared, call, &choice).await {
         Ok(permit) => permit,
         Err(why) => {
-            progress.unsent += 1;
+            progress.unsent_attempts += 1;
             log_failure(shared, call, progress, &choice, why, Ran::No);
-            return Ok(Err(Failure::Unsent(why)));
+            return Ok(Err(Failure::NotSent(why)));
         }
     };
     progress.tried.push(choice.endpoint.clone());
     let connection = match connect(shared, call, &choice).await {
         Ok(connection) => connection,
         Err(why) => {
-            progress.unsent += 1;
+            progress.unsent_attempts += 1;
             log_failure(shared, call, progress, &choice, why, Ran::No);
-            note_outcome(shared, &choice.endpoint, Outcome::Unreachable);
-            return Ok(Err(Failure::Unsent(why)));
+            record_outcome(shared, &choice.endpoint, Outcome::Unreachable);
+            return Ok(Err(Failure::NotSent(why)));
         }
     };
     check_still_allowed(shared, call, progress)?;
-    Ok(send_on(shared, call, progress, (choice, permit), connection, from).await)
+    Ok(send_over(shared, call, progress, (choice, permit), connection, from).await)
 }
 
 /// Why there is no endpoint to choose.
@@ -147,32 +157,32 @@
     }
 }
 
-pub(super) async fn send_on<D: Dialect>(
+pub(super) async fn send_over<D: Dialect>(
     shared: &Rc<Shared<D>>,
     call: &Call,
     progress: &mut Progress,
     (choice, permit): (Choice, Option<Permit>),
     mut connection: Connection,
-    from: Resume,
-) -> Result<Leg, Failure> {
+    from: ResumePoint,
+) -> Result<EndpointAnswer, Failure> {
     let now = Moment::now();
-    let left = call.until.saturating_duration_since(now);
+    let left = call.deadline.saturating_duration_since(now);
     if left.is_zero() {
-        return Err(Failure::Late);
+        return Err(Failure::DeadlineExceeded);
     }
     if !shared.try_take_place(&choice, permit, now) {
-        put_back(shared, &choice.endpoint, connection, None);
-        return Err(Failure::Unsent("the endpoint takes no more for now"));
+        return_connection(shared, &choice.endpoint, connection, None);
+        return Err(Failure::NotSent("the endpoint takes no more for now"));
     }
-    shared.metrics.note_attempt(progress.sent > 0);
+    shared.metrics.record_attempt(progress.sent > 0);
     progress.sent += 1;
-    progress.ran += 1;
-    if progress.chosen.is_none() {
+    progress.possible_runs += 1;
+    if progress.service.is_none() {
         shared.budget.borrow_mut().note_request(&choice.service, now);
-        progress.chosen = Some(choice.service.clone());
+        progress.service = Some(choice.service.clone());
     }
     log_sent(shared, call, progress, &choice, connection.carried > 0, left);
-    progress.last = Some(choice.clone());
+    progress.last_choice = Some(choice.clone());
     let request = call.to_request(&shared.dialect, &choice, left, from);
     let prompt = call.prompt.as_ref();
     let unread = choice.unread;
@@ -189,22 +199,22 @@
         record_limit(shared, &choice.endpoint, head.limit, now);
     }
     if !head.id_matches {
-        note_outcome(shared, &choice.endpoint, Outcome::Failed);
+        record_outcome(shared, &choice.endpoint, Outcome::Failed);
         log_failure(shared, call, progress, &choice, "it answered another request", Ran::Unknown);
-        return Err(Failure::Lost("the endpoint answered another request"));
+        return Err(Failure::OutcomeUnknown("the endpoint answered another request"));
     }
     let response = Response::from_parts(parts, body);
-    Ok(Leg { choice, response, head, connection, flight, sent: now, continued: from.copy })
+    Ok(EndpointAnswer { choice, response, head, connection, flight, sent: now, continued: from.from_copy })
 }
 
 /// Records what an endpoint asks of this instance.
 fn record_pushback<D: Dialect>(shared: &Shared<D>, endpoint: &EndpointId, pushback: Pushback) {
     let (endpoint, now) = (endpoint.clone(), Moment::now());
     match pushback {
-        Pushback::Backoff(rest) => {
-            shared.backoff.borrow_mut().record_backoff(&endpoint, rest, now);
-            shared.metrics.note_rest();
-            let rest_ms = u64::try_from(rest.as_millis()).unwrap_or(u64::MAX);
+        Pushback::Backoff(pause) => {
+            shared.backoff.borrow_mut().record_backoff(&endpoint, pause, now);
+            shared.metrics.record_backoff();
+            let rest_ms = u64::try_from(pause.as_millis()).unwrap_or(u64::MAX);
             shared.log.write(What::AskedToRest { endpoint, rest_ms });
         }
         Pushback::Leaving => {
@@ -226,7 +236,7 @@
         return;
     }
     shared.fields.borrow_mut().clear();
-    shared.metrics.note_limit();
+    shared.metrics.record_limit_change();
     shared.metrics.set_limited(shared.limits.borrow().count());
     let per_second = report.rate.map(RequestRate::per_second);
     shared.log.write(What::LimitNamed { endpoint: endpoint.clone(), per_second });
@@ -241,9 +251,9 @@
     connection: &mut Connection,
     request: Request<Full<Bytes>>,
 ) -> Result<Response<Incoming>, Failure> {
-    let patience = call.patience() + to_wait(shared, choice).mul_f64(shared.options.policy.guard.patience);
+    let timeout = call.silence_timeout() + expected_wait(shared, choice).mul_f64(shared.options.policy.guard.patience);
     let sent = Moment::now();
-    let patient_until = call.until.min(sent + patience);
+    let silence_deadline = call.deadline.min(sent + timeout);
     let outcome = async {
         tokio::select! {
             answer = connection.send(request) => answer.map_err(|_| "the connection ended before an answer"),
@@ -251,31 +261,31 @@
         }
     };
     let mut answer = std::pin::pin!(outcome);
-    let mut answered = timeout_at(patient_until, answer.as_mut()).await;
-    let impatient = shared.options.policy.guard.impatience && call.route.may_repeat();
-    if answered.is_err() && impatient && may_give_up(shared, call, progress) {
-        note_outcome(shared, &choice.endpoint, Outcome::Failed);
+    let mut answered = timeout_at(silence_deadline, answer.as_mut()).await;
+    let may_abandon = shared.options.policy.guard.impatience && call.route.may_repeat();
+    if answered.is_err() && may_abandon && take_retry_for_silent(shared, call, progress) {
+        record_outcome(shared, &choice.endpoint, Outcome::Failed);
         log_failure(shared, call, progress, choice, "it is silent", Ran::Unknown);
-        return Err(Failure::Silent);
+        return Err(Failure::Unresponsive);
     }
     if answered.is_err() {
-        answered = timeout_at(call.until, answer).await;
+        answered = timeout_at(call.deadline, answer).await;
     }
     match answered {
         Ok(Ok(response)) => Ok(response),
         Ok(Err(why)) => {
-            if sent.elapsed() >= to_wait(shared, choice) {
+            if sent.elapsed() >= expected_wait(shared, choice) {
                 // Plain services begin at once, engines when what is ahead has been read: it has run, its answer is lost.
-                note_begun(shared, call, progress, sent);
+                record_begun(shared, call, progress, sent);
             }
-            note_outcome(shared, &choice.endpoint, Outcome::Failed);
+            record_outcome(shared, &choice.endpoint, Outcome::Failed);
             log_failure(shared, call, progress, choice, why, Ran::Unknown);
-            note_if_ended(shared, call, progress, choice).await;
-            Err(Failure::Lost("the endpoint broke off"))
+            record_if_ended(shared, call, progress, choice).await;
+            Err(Failure::OutcomeUnknown("the endpoint broke off"))
         }
         Err(_) => {
             log_failure(shared, call, progress, choice, "time ran out", Ran::Unknown);
-            Err(Failure::Late)
+            Err(Failure::DeadlineExceeded)
         }
     }
 }
@@ -306,7 +316,7 @@
 }
 
 /// The endpoint that the request would be sent to now; `None` where there is none that it has not been to.
-pub(super) fn pick<D: Dialect>(shared: &Shared<D>, call: &Call, progress: &Progress) -> Option<Choice> {
+pub(super) fn choose_endpoint<D: Dialect>(shared: &Shared<D>, call: &Call, progress: &Progress) -> Option<Choice> {
     let plan = shared.current_plan()?;
     let roster = shared.roster.borrow().clone();
     let balance = shared.balance.borrow();
@@ -327,10 +337,13 @@
         policy: &shared.options.policy,
         now: Moment::now(),
     };
-    let eligible =
-        Eligibility { tried: &progress.tried, residency: call.residency.as_deref(), unlimited: progress.unlimited };
+    let eligible = Eligibility {
+        tried: &progress.tried,
+        residency: call.residency.as_deref(),
+        unlimited: progress.unlimited_only,
+    };
     let first = choose::service_of(&call.route, rand::random())?;
-    let by_weight = progress.chosen.as_ref().unwrap_or(first);
+    let by_weight = progress.service.as_ref().unwrap_or(first);
     let others = call.route.shares.iter().map(|share| &share.service);
     let mut services = std::iter::once(by_weight).chain(others);
     services.find_map(|service| {
@@ -346,10 +359,10 @@
 ) -> Result<Connection, &'static str> {
     let now = Moment::now();
     let once = !call.route.may_repeat();
-    let rested = shared.pool.borrow_mut().take(&choice.endpoint, once, now);
-    if let Some(connection) = rested {
+    let idle = shared.pool.borrow_mut().take(&choice.endpoint, once, now);
+    if let Some(connection) = idle {
         return Ok(connection);
     }
-    let bound = upstream::CONNECT.min(call.until.saturating_duration_since(now));
+    let bound = upstream::CONNECT.min(call.deadline.saturating_duration_since(now));
     upstream::connect(&choice.address, bound).await.map_err(|_| "it cannot be reached")
 }
--- a/crates/rudder-gateway/src/call/permit.rs
+++ b/crates/rudder-gateway/src/call/checks.rs
@@ -7,38 +7,38 @@
 
 use super::{
     Call, Progress, Refusal,
-    attempt::pick,
+    attempt::choose_endpoint,
     ended::{check_not_refused, is_risky},
-    refusal::{not_run, stopped},
+    refusal::{no_retry, not_run},
 };
 use crate::{Dialect, Route, RouteKind, choose::Choice, places::residency_of, shared::Shared};
 
 /// Endpoints beyond the route's own bound that a request may go to when it did not run.
-const UNRUN_EXTRA: u32 = 1;
+const EXTRA_ATTEMPTS_NOT_RUN: u32 = 1;
 
 /// Takes the right to send a request once more, within the route's bound and the retry budget. There is none where no other
 /// endpoint may be sent to: what is under way is better waited for, and the budget is others'.
-pub fn may_send_again<D: Dialect>(shared: &Shared<D>, call: &Call, progress: &mut Progress) -> bool {
+pub fn take_retry<D: Dialect>(shared: &Shared<D>, call: &Call, progress: &mut Progress) -> bool {
     let now = Moment::now();
     let bound = call.route.attempts.max(1);
-    if progress.ran >= bound || progress.sent >= bound + UNRUN_EXTRA || now >= call.until {
+    if progress.possible_runs >= bound || progress.sent >= bound + EXTRA_ATTEMPTS_NOT_RUN || now >= call.deadline {
         return false;
     }
-    if is_risky(shared, call, progress) || pick(shared, call, progress).is_none() {
+    if is_risky(shared, call, progress) || choose_endpoint(shared, call, progress).is_none() {
         return false;
     }
-    let Some(service) = progress.chosen.clone() else { return true };
+    let Some(service) = progress.service.clone() else { return true };
     let instances = shared.view.borrow().senders().count();
     shared.budget.borrow_mut().try_take(&service, now, instances)
 }
 
 /// Takes the right to give up an attempt that is silent for another one. A permit may be denied, and then the request would be
 /// refused while its first endpoint may still answer; so the other attempt goes to an endpoint without a rate limit.
-pub fn may_give_up<D: Dialect>(shared: &Shared<D>, call: &Call, progress: &mut Progress) -> bool {
-    let before = std::mem::replace(&mut progress.unlimited, true);
-    let may = may_send_again(shared, call, progress);
-    progress.unlimited = may || before;
-    may
+pub fn take_retry_for_silent<D: Dialect>(shared: &Shared<D>, call: &Call, progress: &mut Progress) -> bool {
+    let before = std::mem::replace(&mut progress.unlimited_only, true);
+    let taken = take_retry(shared, call, progress);
+    progress.unlimited_only = taken || before;
+    taken
 }
 
 /// Refuses a stream of the lowest rank at once where its engine, the best there is, has so much to read
@@ -49,7 +49,7 @@
     if call.route.kind != RouteKind::Stream || call.prompt.is_none() || !plan.is_lowest(&call.route, &choice.service) {
         return Ok(());
     }
-    let wait = to_wait(shared, choice);
+    let wait = expected_wait(shared, choice);
     if hopeless == 0.0 || wait <= call.route.target.mul_f64(hopeless) {
         return Ok(());
     }
@@ -64,7 +64,7 @@
 }
 
 /// How long an engine takes to read what is unread there.
-pub(super) fn to_wait<D: Dialect>(shared: &Shared<D>, choice: &Choice) -> Duration {
+pub(super) fn expected_wait<D: Dialect>(shared: &Shared<D>, choice: &Choice) -> Duration {
     shared.reading.borrow().time_for(&choice.service, choice.ahead)
 }
 
@@ -74,8 +74,8 @@
     call: &Call,
     progress: &Progress,
 ) -> Result<(), Refusal> {
-    let come_back = shared.options.recover;
-    let refusal = |why| stopped(progress, why, come_back);
+    let retry_after = shared.options.recovery_retry_after;
+    let refusal = |why| no_retry(progress, why, retry_after);
     if !shared.is_fresh(shared.options.max_proof_age) {
         return Err(refusal("the configuration may be old"));
     }
--- a/crates/rudder-gateway/src/call/copies.rs
+++ b/crates/rudder-gateway/src/call/copies.rs
@@ -6,11 +6,11 @@
 use rudder_model::Ran;
 
 use super::{
-    Call, Leg, Progress, Resume,
-    attempt::{connect, log_failure, note_outcome, send_on},
+    Call, EndpointAnswer, Progress, ResumePoint,
+    attempt::{connect, log_failure, record_outcome, send_over},
+    checks::check_still_allowed,
     ended::is_risky,
-    limit::take_permit,
-    permit::check_still_allowed,
+    rate_limit::take_permit,
 };
 use crate::{Dialect, choose::Choice, health::Outcome, shared::Shared};
 
@@ -18,18 +18,18 @@
 /// as the same run, also on routes whose requests run at most once; so this is called only when the first endpoint has
 /// ended: one that can still be reached may have only broken off, and may be at work still. Before the first whole event there is
 /// no copy to go on from.
-pub async fn go_on_from_copy<D: Dialect>(
+pub async fn resume_from_copy<D: Dialect>(
     shared: &Rc<Shared<D>>,
     call: &Call,
     progress: &mut Progress,
     last_event: u64,
-) -> Option<Leg> {
+) -> Option<EndpointAnswer> {
     if is_risky(shared, call, progress) {
         return None;
     }
-    let before = progress.last.take()?;
+    let before = progress.last_choice.take()?;
     let keeper = before.keeper.as_ref()?;
-    note_outcome(shared, &before.endpoint, Outcome::Unreachable);
+    record_outcome(shared, &before.endpoint, Outcome::Unreachable);
     let work = shared.balance.borrow().at(&keeper.endpoint);
     if work.calls >= keeper.slots {
         // What goes on from a copy is let in first, so that a full engine would preempt another for it, be that one
@@ -55,12 +55,12 @@
     let permit = take_permit(shared, call, &choice).await.ok()?;
     let connection = connect(shared, call, &choice).await.ok()?;
     check_still_allowed(shared, call, progress).ok()?;
-    let from = Resume { last_event: Some(last_event), copy: true };
-    let leg = send_on(shared, call, progress, (choice, permit), connection, from).await.ok()?;
-    if leg.response.status().is_success() && !leg.head.not_run {
-        shared.metrics.note_resume();
-        return Some(leg);
+    let from = ResumePoint { last_event: Some(last_event), from_copy: true };
+    let answer = send_over(shared, call, progress, (choice, permit), connection, from).await.ok()?;
+    if answer.response.status().is_success() && !answer.head.not_run {
+        shared.metrics.record_resume();
+        return Some(answer);
     }
-    log_failure(shared, call, progress, &leg.choice, "it keeps no copy", Ran::No);
+    log_failure(shared, call, progress, &answer.choice, "it keeps no copy", Ran::No);
     None
 }
--- a/crates/rudder-gateway/src/call/ended.rs
+++ b/crates/rudder-gateway/src/call/ended.rs
@@ -5,14 +5,14 @@
 use rudder_events::What;
 use rudder_model::ContentTag;
 
-use super::{Call, Progress, Refusal, refusal::stopped};
+use super::{Call, Progress, Refusal, refusal::no_retry};
 use crate::{Dialect, choose::Choice, shared::Shared, upstream};
 
 /// A request is not sent again once this many endpoints have ended under its content: at the next one it would be refused.
-const RESEND_BOUND: usize = 2;
+const MAX_ENDED_ENDPOINTS: usize = 2;
 
 /// Looks whether the endpoint whose connection broke off under `call` has ended, and takes it in if so.
-pub async fn note_if_ended<D: Dialect>(
+pub async fn record_if_ended<D: Dialect>(
     shared: &Shared<D>,
     call: &Call,
     progress: &mut Progress,
@@ -22,8 +22,8 @@
         shared.contents.borrow_mut().note_broken(call.content, &choice.endpoint);
         return false;
     }
-    progress.ended += 1;
-    shared.metrics.note_ended_under();
+    progress.ended_endpoints += 1;
+    shared.metrics.record_ended_under();
     shared.log.write(What::EndedUnder {
         request: call.id.clone(),
         endpoint: choice.endpoint.clone(),
@@ -37,7 +37,7 @@
 }
 
 /// Records that an endpoint answered a request whole.
-pub fn note_answered<D: Dialect>(shared: &Shared<D>, call: &Call) {
+pub fn record_answered<D: Dialect>(shared: &Shared<D>, call: &Call) {
     let findings = shared.contents.borrow_mut().note_answered(call.content, Moment::now());
     if let Some(findings) = findings {
         shared.tell(Event::Findings(findings));
@@ -49,7 +49,7 @@
     if !shared.options.policy.guard.quarantine {
         return false;
     }
-    shared.contents.borrow().ended_count(call.content).max(progress.ended) >= RESEND_BOUND
+    shared.contents.borrow().ended_count(call.content).max(progress.ended_endpoints) >= MAX_ENDED_ENDPOINTS
 }
 
 /// Refuses a request whose content is in quarantine.
@@ -62,7 +62,7 @@
         return Ok(());
     }
     let Some(left) = shared.contents.borrow().refused_for(content, Moment::now()) else { return Ok(()) };
-    Err(stopped(progress, "endpoints have ended under it", left))
+    Err(no_retry(progress, "endpoints have ended under it", left))
 }
 
 /// A content as it stands in logs.
--- a/crates/rudder-gateway/src/call/mod.rs
+++ b/crates/rudder-gateway/src/call/mod.rs
@@ -7,19 +7,19 @@
 //!
 //! - [`admit`]: reading a request, its route and its key;
 //! - [`send`]: the loop over endpoints, and the answer;
-//! - [`permit`]: whether it may be sent, for the first time and once more;
+//! - [`checks`]: whether it may be sent, for the first time and once more;
 //! - [`attempt`]: one endpoint, from the choice to the head of its answer;
-//! - [`limit`]: permits for endpoints that have a rate limit;
+//! - [`rate_limit`]: permits for endpoints that have a rate limit;
 //! - [`copies`]: going on elsewhere, from a copy of its memory, with a stream whose endpoint has ended;
 //! - [`ended`]: endpoints that end under requests;
 //! - [`refusal`]: final answers of the instance itself.
 
 pub mod admit;
 pub mod attempt;
+pub mod checks;
 pub mod copies;
 pub mod ended;
-pub mod limit;
-pub mod permit;
+pub mod rate_limit;
 pub mod refusal;
 pub mod send;
 
@@ -34,12 +34,12 @@
 use rudder_model::{ContentTag, EndpointId, id::name_of};
 
 pub use admit::strip_hop_headers;
-pub use attempt::{attempt, log_failure, note_outcome, put_back};
-pub use copies::go_on_from_copy;
-pub use ended::{note_answered, note_if_ended, to_hex};
-pub use permit::{may_give_up, may_send_again};
+pub use attempt::{attempt, log_failure, record_outcome, return_connection};
+pub use checks::{take_retry, take_retry_for_silent};
+pub use copies::resume_from_copy;
+pub use ended::{record_answered, record_if_ended, to_hex};
 pub use refusal::Refusal;
-pub use send::may_go_on;
+pub use send::take_retry_after;
 
 use crate::{
     Dialect, Route, RouteKind,
@@ -48,7 +48,7 @@
     choose::Choice,
     dialect::{AnswerHead, CallHead, Forward, Prompt},
     holdings::Cut,
-    metrics::Ending,
+    metrics::RequestOutcome,
     places::Residency,
     shared::{Shared, Stage},
     upstream::Connection,
@@ -56,14 +56,14 @@
 
 /// An endpoint may be silent for this many times the target of a route, and at least for this long, before
 /// a request that may be repeated is sent to another.
-const PATIENCE: u32 = 2;
-const LEAST: Duration = Duration::from_millis(150);
+const SILENCE_FACTOR: u32 = 2;
+const MIN_SILENCE_TIMEOUT: Duration = Duration::from_millis(150);
 /// The same for streams, whose prompts may have to be read again.
-const STREAM_PATIENCE: u32 = 3;
-const STREAM_LEAST: Duration = Duration::from_millis(1200);
+const STREAM_SILENCE_FACTOR: u32 = 3;
+const MIN_STREAM_SILENCE_TIMEOUT: Duration = Duration::from_millis(1200);
 
 /// A request that a stopping instance no longer takes can go to another at once.
-const ELSEWHERE: Duration = Duration::from_millis(20);
+const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(20);
 
 /// A request that has been read and may be sent.
 #[derive(Debug)]
@@ -73,7 +73,7 @@
     /// When its head was read.
     pub arrived: Moment,
     /// When it is given up.
-    pub until: Moment,
+    pub deadline: Moment,
     /// Its route.
     pub route: Arc<Route>,
     /// The organisation that holds its key.
@@ -102,7 +102,7 @@
 
 /// An attempt that an endpoint answered.
 #[derive(Debug)]
-pub struct Leg {
+pub struct EndpointAnswer {
     /// Where it went.
     pub choice: Choice,
     /// The answer.
@@ -123,23 +123,23 @@
 #[derive(Debug)]
 pub enum Failure {
     /// Nothing was sent.
-    Unsent(&'static str),
+    NotSent(&'static str),
     /// It was sent, and what became of it is unknown.
-    Lost(&'static str),
+    OutcomeUnknown(&'static str),
     /// It was sent and nothing came for so long that it was given up for another attempt, whose right is
     /// already taken.
-    Silent,
+    Unresponsive,
     /// Time ran out while it was under way.
-    Late,
+    DeadlineExceeded,
 }
 
 /// From where an endpoint takes a request up.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Resume {
+pub struct ResumePoint {
     /// After this event, which the caller has.
     pub last_event: Option<u64>,
     /// From the copy of the request's memory that the endpoint keeps.
-    pub copy: bool,
+    pub from_copy: bool,
 }
 
 /// What has become of a request so far.
@@ -150,33 +150,33 @@
     /// Times that it was sent.
     pub sent: u32,
     /// Of these, the times that it ran or may have run.
-    pub ran: u32,
+    pub possible_runs: u32,
     /// Where it was sent last.
-    pub last: Option<Choice>,
+    pub last_choice: Option<Choice>,
     /// It has begun to run at an endpoint, and counts as one request of its organisation however often it does again.
     pub begun: bool,
     /// Endpoints that ended under it.
-    pub ended: usize,
-    unsent: u32,
+    pub ended_endpoints: usize,
+    unsent_attempts: u32,
     /// It goes to endpoints without a rate limit alone.
-    unlimited: bool,
-    chosen: Option<Arc<str>>,
+    unlimited_only: bool,
+    service: Option<Arc<str>>,
 }
 
 /// Counts a request as open while it lives. One that ends without an answer was dropped by the server
 /// library, because its caller left.
-struct Open<D: Dialect> {
+struct OpenRequest<D: Dialect> {
     shared: Rc<Shared<D>>,
     id: String,
     arrived: Moment,
     answered: bool,
 }
 
-impl<D: Dialect> Drop for Open<D> {
+impl<D: Dialect> Drop for OpenRequest<D> {
     fn drop(&mut self) {
         self.shared.open.set(self.shared.open.get() - 1);
         if !self.answered {
-            self.shared.metrics.note_end(None, Ending::Left, self.arrived.elapsed());
+            self.shared.metrics.record_end(None, RequestOutcome::CallerLeft, self.arrived.elapsed());
             self.shared.log.write(What::Left { request: std::mem::take(&mut self.id) });
         }
     }
@@ -189,10 +189,10 @@
     let (parts, body) = request.into_parts();
     let head = shared.dialect.read_call(&parts);
     let id = head.id.clone();
-    let mut open = Open { shared: shared.clone(), id: id.clone(), arrived, answered: false };
+    let mut open = OpenRequest { shared: shared.clone(), id: id.clone(), arrived, answered: false };
     let read = match *shared.stage.borrow() {
         // It came while its connection was being closed.
-        Stage::Closing => Err(refusal::not_run("the instance is stopping", ELSEWHERE)),
+        Stage::Closing => Err(refusal::not_run("the instance is stopping", STOPPING_RETRY_AFTER)),
         Stage::Serving | Stage::Leaving => Ok(()),
     };
     let answer = match read {
@@ -201,7 +201,7 @@
     };
     open.answered = true;
     answer.unwrap_or_else(|refusal| {
-        shared.metrics.note_end(None, Ending::Refused, arrived.elapsed());
+        shared.metrics.record_end(None, RequestOutcome::Refused, arrived.elapsed());
         refusal::refuse(&shared, &id, &refusal)
     })
 }
@@ -219,9 +219,13 @@
 
 impl Call {
     /// How long an endpoint may be silent before another one is tried, where the request may be repeated.
-    pub fn patience(&self) -> Duration {
+    pub fn silence_timeout(&self) -> Duration {
         let streams = self.route.kind == RouteKind::Stream;
-        let (factor, least) = if streams { (STREAM_PATIENCE, STREAM_LEAST) } else { (PATIENCE, LEAST) };
+        let (factor, least) = if streams {
+            (STREAM_SILENCE_FACTOR, MIN_STREAM_SILENCE_TIMEOUT)
+        } else {
+            (SILENCE_FACTOR, MIN_SILENCE_TIMEOUT)
+        };
         (self.route.target * factor).max(least)
     }
 
@@ -230,7 +234,7 @@
         dialect: &D,
         choice: &Choice,
         left: Duration,
-        from: Resume,
+        from: ResumePoint,
     ) -> Request<Full<Bytes>> {
         let mut headers = self.headers.clone();
         let tier = self.prompt.is_some().then_some(self.engine_rank);
@@ -242,27 +246,27 @@
             tier,
             last_event: from.last_event,
             copy_to: choice.keeper.as_ref().map(|keeper| &*keeper.address),
-            fetch_from: choice.fetch_from.as_deref().filter(|_| !from.copy),
-            resume_from: from.copy.then_some(&*choice.address),
+            fetch_from: choice.fetch_from.as_deref().filter(|_| !from.from_copy),
+            resume_from: from.from_copy.then_some(&*choice.address),
         };
         dialect.write_forward(&mut headers, &forward);
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
-        *request.uri_mut() = to_origin(&self.uri);
+        *request.uri_mut() = to_origin_form(&self.uri);
         *request.headers_mut() = headers;
         request
     }
 }
 
 /// Counts a request that began to run at an endpoint at `at`, the first time that it does.
-pub fn note_begun<D: Dialect>(shared: &Shared<D>, call: &Call, progress: &mut Progress, at: Moment) {
+pub fn record_begun<D: Dialect>(shared: &Shared<D>, call: &Call, progress: &mut Progress, at: Moment) {
     if !std::mem::replace(&mut progress.begun, true) {
-        shared.note_begun(call.organisation.as_ref(), at);
+        shared.record_begun(call.organisation.as_ref(), at);
     }
 }
 
 /// Path and query alone, as they go to an endpoint.
-fn to_origin(uri: &Uri) -> Uri {
+fn to_origin_form(uri: &Uri) -> Uri {
     let path = uri.path_and_query().cloned();
     path.map_or_else(Uri::default, Uri::from)
 }
--- a/crates/rudder-gateway/src/call/limit.rs
+++ b/crates/rudder-gateway/src/call/rate_limit.rs
@@ -34,11 +34,11 @@
     let Ok(Reply::Permit(answer)) = reply.await else { return Err("the control thread has ended") };
     match answer {
         PermitAnswer::Granted(count) => {
-            shared.metrics.note_permit(PermitOutcome::Granted);
+            shared.metrics.record_permit(PermitOutcome::Granted);
             Ok(Some(shared.limits.borrow_mut().take_granted(endpoint, tier, count, asked)))
         }
         PermitAnswer::Denied(retry) => {
-            shared.metrics.note_permit(PermitOutcome::Denied);
+            shared.metrics.record_permit(PermitOutcome::Denied);
             shared.limits.borrow_mut().record_denial(endpoint, Moment::now() + retry);
             shared.fields.borrow_mut().clear();
             Err("its rate limit is used up")
--- a/crates/rudder-gateway/src/call/refusal.rs
+++ b/crates/rudder-gateway/src/call/refusal.rs
@@ -24,7 +24,7 @@
 
 /// The answer to a refused request.
 pub(super) fn refuse<D: Dialect>(shared: &Shared<D>, id: &str, refusal: &Refusal) -> Response<AnswerBody> {
-    shared.metrics.note_refusal(refusal.why);
+    shared.metrics.record_refusal(refusal.why);
     shared.log.write(What::CallRefused {
         request: id.to_owned(),
         status: refusal.status.as_u16(),
@@ -51,8 +51,8 @@
 }
 
 /// The answer to a request that is not sent any more: not run, with a time to come back, where it was never sent.
-pub(super) fn stopped(progress: &Progress, why: &'static str, retry: Duration) -> Refusal {
-    if progress.ran == 0 { not_run(why, retry) } else { outcome_unknown(why) }
+pub(super) fn no_retry(progress: &Progress, why: &'static str, retry: Duration) -> Refusal {
+    if progress.possible_runs == 0 { not_run(why, retry) } else { outcome_unknown(why) }
 }
 
 /// The answer where a request may have run and is not sent any more.
@@ -65,7 +65,7 @@
 }
 
 /// Statuses that promise that a request did not run.
-pub(super) fn is_promise(status: StatusCode) -> bool {
+pub(super) fn promises_not_run(status: StatusCode) -> bool {
     let promises = [
         StatusCode::TOO_MANY_REQUESTS,
         StatusCode::SERVICE_UNAVAILABLE,
@@ -83,16 +83,16 @@
     failure: &Failure,
 ) -> Refusal {
     let why = match failure {
-        Failure::Unsent(why) | Failure::Lost(why) => why,
-        Failure::Silent => "the endpoint is silent",
-        Failure::Late => "time ran out",
+        Failure::NotSent(why) | Failure::OutcomeUnknown(why) => why,
+        Failure::Unresponsive => "the endpoint is silent",
+        Failure::DeadlineExceeded => "time ran out",
     };
-    if progress.ran == 0 {
+    if progress.possible_runs == 0 {
         // Before one of its endpoints takes requests again, it would be turned away once more.
-        return not_run(why, shared.blocked_for(&call.route).unwrap_or(shared.options.come_back));
+        return not_run(why, shared.blocked_for(&call.route).unwrap_or(shared.options.retry_after));
     }
     let status = match failure {
-        Failure::Late => StatusCode::GATEWAY_TIMEOUT,
+        Failure::DeadlineExceeded => StatusCode::GATEWAY_TIMEOUT,
         _ => StatusCode::BAD_GATEWAY,
     };
     Refusal { status, why, ran: Ran::Unknown, retry: None }
--- a/crates/rudder-gateway/src/call/send.rs
+++ b/crates/rudder-gateway/src/call/send.rs
@@ -7,85 +7,90 @@
 use rudder_events::What;
 
 use super::{
-    Call, Failure, Leg, Progress, Refusal, Resume,
-    attempt::{UNSENT_MOST, attempt, note_not_run, note_outcome, put_back},
-    may_send_again, note_answered, note_begun, note_if_ended,
-    refusal::{final_refusal, is_promise, outcome_unknown},
-    strip_hop_headers,
+    Call, EndpointAnswer, Failure, Progress, Refusal, ResumePoint,
+    attempt::{MAX_UNSENT_ATTEMPTS, attempt, record_not_run, record_outcome, return_connection},
+    record_answered, record_begun, record_if_ended,
+    refusal::{final_refusal, outcome_unknown, promises_not_run},
+    strip_hop_headers, take_retry,
 };
 use crate::{
     Dialect, RouteKind,
     body::AnswerBody,
     health::Outcome,
     holdings::{Reads, read_whole},
-    metrics::Ending,
+    metrics::RequestOutcome,
     shared::Shared,
     stream,
 };
 
 /// Largest answer that is held whole before it is passed on.
-pub const WHOLE: usize = 8 << 20;
+pub const MAX_BUFFERED_ANSWER: usize = 8 << 20;
 
 /// Sends a request until it is answered or given up.
 pub(super) async fn send<D: Dialect>(shared: &Rc<Shared<D>>, call: Call) -> Result<Response<AnswerBody>, Refusal> {
     let mut progress = Progress::default();
-    let from = Resume { last_event: call.last_event, copy: false };
-    let mut spare: Option<Response<AnswerBody>> = None;
+    let from = ResumePoint { last_event: call.last_event, from_copy: false };
+    let mut fallback: Option<Response<AnswerBody>> = None;
     loop {
-        let leg = match attempt(shared, &call, &mut progress, from).await? {
-            Ok(leg) => leg,
+        let answer = match attempt(shared, &call, &mut progress, from).await? {
+            Ok(answer) => answer,
             Err(failure) => {
-                if may_go_on(shared, &call, &mut progress, &failure) {
+                if take_retry_after(shared, &call, &mut progress, &failure) {
                     continue;
                 }
-                return spare.ok_or_else(|| final_refusal(shared, &call, &progress, &failure));
+                return fallback.ok_or_else(|| final_refusal(shared, &call, &progress, &failure));
             }
         };
-        if leg.head.not_run || leg.head.misdirected {
-            note_not_run(shared, &call, &mut progress, leg).await;
-            if may_send_again(shared, &call, &mut progress) {
+        if answer.head.not_run || answer.head.misdirected {
+            record_not_run(shared, &call, &mut progress, answer).await;
+            if take_retry(shared, &call, &mut progress) {
                 continue;
             }
-            return spare.ok_or_else(|| {
-                final_refusal(shared, &call, &progress, &Failure::Unsent("all its endpoints are full"))
+            return fallback.ok_or_else(|| {
+                final_refusal(shared, &call, &progress, &Failure::NotSent("all its endpoints are full"))
             });
         }
-        if call.route.kind == RouteKind::Stream && leg.response.status().is_success() {
-            return Ok(stream::start(shared, call, progress, leg));
+        if call.route.kind == RouteKind::Stream && answer.response.status().is_success() {
+            return Ok(stream::start(shared, call, progress, answer));
         }
         // A plain service begins at once.
-        note_begun(shared, &call, &mut progress, leg.sent);
-        match relay(shared, &call, &mut progress, leg).await {
+        record_begun(shared, &call, &mut progress, answer.sent);
+        match relay(shared, &call, &mut progress, answer).await {
             Ok(response) => {
                 let status = response.status();
                 let failed = status.is_server_error() && status != StatusCode::GATEWAY_TIMEOUT;
-                if failed && call.route.may_repeat() && may_send_again(shared, &call, &mut progress) {
-                    spare = Some(response);
+                if failed && call.route.may_repeat() && take_retry(shared, &call, &mut progress) {
+                    fallback = Some(response);
                     continue;
                 }
                 // An endpoint's 429 or 503 without its word that it did not run would be a false promise.
-                if is_promise(status) {
+                if promises_not_run(status) {
                     return Err(outcome_unknown("the endpoint failed"));
                 }
                 return Ok(response);
             }
             Err(failure) => {
-                if may_go_on(shared, &call, &mut progress, &failure) {
+                if take_retry_after(shared, &call, &mut progress, &failure) {
                     continue;
                 }
-                return spare.ok_or_else(|| final_refusal(shared, &call, &progress, &failure));
+                return fallback.ok_or_else(|| final_refusal(shared, &call, &progress, &failure));
             }
         }
     }
 }
 
 /// True where a failed attempt may be followed by another. Where nothing was sent, the right that it had is not used up.
-pub fn may_go_on<D: Dialect>(shared: &Shared<D>, call: &Call, progress: &mut Progress, failure: &Failure) -> bool {
+pub fn take_retry_after<D: Dialect>(
+    shared: &Shared<D>,
+    call: &Call,
+    progress: &mut Progress,
+    failure: &Failure,
+) -> bool {
     match failure {
-        Failure::Unsent(_) => progress.unsent < UNSENT_MOST && Moment::now() < call.until,
-        Failure::Silent => true,
-        Failure::Lost(_) => call.route.may_repeat() && may_send_again(shared, call, progress),
-        Failure::Late => false,
+        Failure::NotSent(_) => progress.unsent_attempts < MAX_UNSENT_ATTEMPTS && Moment::now() < call.deadline,
+        Failure::Unresponsive => true,
+        Failure::OutcomeUnknown(_) => call.route.may_repeat() && take_retry(shared, call, progress),
+        Failure::DeadlineExceeded => false,
     }
 }
 
@@ -94,38 +99,38 @@
     shared: &Shared<D>,
     call: &Call,
     progress: &mut Progress,
-    leg: Leg,
+    answer: EndpointAnswer,
 ) -> Result<Response<AnswerBody>, Failure> {
-    let Leg { choice, response, head, connection, flight, .. } = leg;
+    let EndpointAnswer { choice, response, head, connection, flight, .. } = answer;
     let (mut parts, body) = response.into_parts();
     let whole = async {
         tokio::select! {
-            read = read_whole(&shared.holdings, body, WHOLE, Reads::Answer(call.cut.clone())) => read.ok(),
+            read = read_whole(&shared.holdings, body, MAX_BUFFERED_ANSWER, Reads::Answer(call.cut.clone())) => read.ok(),
             () = shared.wait_replaced(&choice.endpoint) => None,
         }
     };
-    let collected = timeout_at(call.until, whole).await;
+    let collected = timeout_at(call.deadline, whole).await;
     drop(flight);
     let bytes = match collected {
         Ok(Some(bytes)) => bytes,
         Ok(None) => {
-            note_outcome(shared, &choice.endpoint, Outcome::Failed);
-            note_if_ended(shared, call, progress, &choice).await;
-            return Err(Failure::Lost("the endpoint's answer broke off"));
+            record_outcome(shared, &choice.endpoint, Outcome::Failed);
+            record_if_ended(shared, call, progress, &choice).await;
+            return Err(Failure::OutcomeUnknown("the endpoint's answer broke off"));
         }
-        Err(_) => return Err(Failure::Late),
+        Err(_) => return Err(Failure::DeadlineExceeded),
     };
-    put_back(shared, &choice.endpoint, connection, head.keep_alive);
+    return_connection(shared, &choice.endpoint, connection, head.keep_alive);
     let good = !parts.status.is_server_error();
-    note_outcome(shared, &choice.endpoint, if good { Outcome::Good } else { Outcome::Failed });
+    record_outcome(shared, &choice.endpoint, if good { Outcome::Good } else { Outcome::Failed });
     if parts.status.is_success() {
-        note_answered(shared, call);
+        record_answered(shared, call);
     }
     strip_hop_headers(&mut parts.headers);
     let took = call.arrived.elapsed();
     let total_ms = took.as_millis() as u64;
-    shared.metrics.note_first(&call.route, took);
-    shared.metrics.note_end(Some(&call.route), Ending::Answered, took);
+    shared.metrics.record_first_byte(&call.route, took);
+    shared.metrics.record_end(Some(&call.route), RequestOutcome::Answered, took);
     shared.log.write(What::CallAnswered {
         request: call.id.clone(),
         endpoint: choice.endpoint,
--- a/crates/rudder-gateway/src/driver.rs
+++ b/crates/rudder-gateway/src/driver.rs
@@ -155,10 +155,10 @@
     rudder_core::Options {
         seeds: options.seeds.clone(),
         founders: if options.bootstrap { options.seeds.clone() } else { Vec::new() },
-        watch_interval: options.watch,
+        watch_interval: options.poll_interval,
         freshness_bound: options.max_proof_age,
         liveness_timeout: Duration::from_millis(800),
-        entries_ttl: options.keep,
+        entries_ttl: options.entries_ttl,
         snapshot_bytes: SNAPSHOT,
         silence_timeout: options.heartbeat * HEARTBEATS_MISSED + HEARTBEAT_LATE,
         tree: options.policy.relays.clone(),
--- a/crates/rudder-gateway/src/duty.rs
+++ b/crates/rudder-gateway/src/duty.rs
@@ -56,7 +56,7 @@
         Some(duties) => send(&shared, duties, &errand).await,
         None => Ended::without_answer(CallOutcome::Lapsed),
     };
-    shared.metrics.note_duty(errand.call.kind(), outcome);
+    shared.metrics.record_duty(errand.call.kind(), outcome);
     shared.log.write(What::DutyCalled {
         duty: errand.call.kind().to_owned(),
         subject: errand.call.subject(),
--- a/crates/rudder-gateway/src/metrics.rs
+++ b/crates/rudder-gateway/src/metrics.rs
@@ -23,9 +23,9 @@
 use crate::{Dialect, RouteKind, plan::Route, shared::Shared};
 
 /// Bounds of latencies in seconds; the targets of routes lie between them.
-const BOUNDS: [f64; 12] = [0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.42, 0.8, 1.2, 2.5, 5.0, 15.0];
+const LATENCY_BUCKETS: [f64; 12] = [0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.42, 0.8, 1.2, 2.5, 5.0, 15.0];
 /// Bytes of a page, for the figures of the system on memory.
-const PAGE: i64 = 4096;
+const PAGE_SIZE: i64 = 4096;
 
 /// Where the replica of this instance stands; written by the control thread.
 #[derive(Debug, Default)]
@@ -54,30 +54,30 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Ended {
+struct RequestLabels {
     kind: &'static str,
     tier: u8,
     outcome: &'static str,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Kind {
+struct KindLabel {
     kind: &'static str,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Why {
+struct ReasonLabel {
     why: &'static str,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Duty {
+struct DutyLabels {
     duty: &'static str,
     outcome: &'static str,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Permits {
+struct PermitLabel {
     outcome: &'static str,
 }
 
@@ -91,12 +91,12 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct At {
+struct EndpointLabel {
     endpoint: String,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Peer {
+struct PeerLabels {
     fate: &'static str,
     message: &'static str,
 }
@@ -115,71 +115,71 @@
 /// Messages and bytes between instances, by kind of message.
 #[derive(Clone, Debug, Default)]
 pub struct PeerFigures {
-    frames: Family<Peer, Counter>,
-    bytes: Family<Peer, Counter>,
-    waiting: Gauge,
-    most: Gauge,
+    frames: Family<PeerLabels, Counter>,
+    bytes: Family<PeerLabels, Counter>,
+    queued: Gauge,
+    peak: Gauge,
 }
 
 impl PeerFigures {
     /// Counts a frame of `size` bytes that carried a message of the kind `message`.
-    pub fn note(&self, frame: PeerFrame, message: &'static str, size: usize) {
+    pub fn record(&self, frame: PeerFrame, message: &'static str, size: usize) {
         let fate = match frame {
             PeerFrame::Sent => "sent",
             PeerFrame::Received => "received",
             PeerFrame::Dropped => "dropped",
         };
-        let label = Peer { fate, message };
+        let label = PeerLabels { fate, message };
         self.frames.get_or_create(&label).inc();
         self.bytes.get_or_create(&label).inc_by(size as u64);
     }
 
     /// Records how many bytes wait for links, and the most that ever did.
-    pub fn note_waiting(&self, bytes: usize, most: usize) {
-        self.waiting.set((bytes as u64).cast_signed());
-        self.most.set((most as u64).cast_signed());
+    pub fn record_queued(&self, bytes: usize, peak: usize) {
+        self.queued.set((bytes as u64).cast_signed());
+        self.peak.set((peak as u64).cast_signed());
     }
 
     fn register(&self, registry: &mut Registry) {
         registry.register("peer_frames", "Frames between instances, by fate and message", self.frames.clone());
         registry.register("peer_bytes", "Bytes between instances, by fate and message", self.bytes.clone());
-        registry.register("peer_waiting_bytes", "Bytes that wait for links to instances", self.waiting.clone());
-        registry.register("peer_waiting_most_bytes", "Most bytes that ever waited so", self.most.clone());
+        registry.register("peer_waiting_bytes", "Bytes that wait for links to instances", self.queued.clone());
+        registry.register("peer_waiting_most_bytes", "Most bytes that ever waited so", self.peak.clone());
     }
 }
 
 /// How a request ended, for its callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum RequestOutcome {
     /// Answered whole.
     Answered,
     /// Refused or failed by the instance itself.
     Refused,
     /// Broken off on the way.
-    Cut,
+    Interrupted,
     /// Its caller left.
-    Left,
+    CallerLeft,
 }
 
 /// All figures of one instance.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
-    requests: Family<Ended, Counter>,
-    refusals: Family<Why, Counter>,
+    requests: Family<RequestLabels, Counter>,
+    refusals: Family<ReasonLabel, Counter>,
     attempts: Counter,
     retries: Counter,
     resumes: Counter,
     ejections: Counter,
-    rests: Counter,
-    limits: Counter,
-    permits: Family<Permits, Counter>,
+    backoffs: Counter,
+    limit_changes: Counter,
+    permits: Family<PermitLabel, Counter>,
     ended_under: Counter,
     held_back: Counter,
-    words: Family<Why, Counter>,
-    duties: Family<Duty, Counter>,
-    first: Family<Kind, Histogram>,
-    total: Family<Kind, Histogram>,
+    refused_reports: Family<ReasonLabel, Counter>,
+    duties: Family<DutyLabels, Counter>,
+    first_byte: Family<KindLabel, Histogram>,
+    total: Family<KindLabel, Histogram>,
     pauses: Histogram,
     /// Messages between instances.
     pub peers: PeerFigures,
@@ -209,13 +209,13 @@
     held: Gauge,
     held_peak: Gauge,
     held_most: Gauge,
-    calls: Family<At, Gauge>,
-    unread: Family<At, Gauge>,
+    calls: Family<EndpointLabel, Gauge>,
+    unread: Family<EndpointLabel, Gauge>,
 }
 
 impl Default for Metrics {
     fn default() -> Self {
-        let histogram: fn() -> Histogram = || Histogram::new(BOUNDS);
+        let histogram: fn() -> Histogram = || Histogram::new(LATENCY_BUCKETS);
         let mut metrics = Metrics {
             registry: Registry::with_prefix("hatchrudder"),
             requests: Family::default(),
@@ -224,14 +224,14 @@
             retries: Counter::default(),
             resumes: Counter::default(),
             ejections: Counter::default(),
-            rests: Counter::default(),
-            limits: Counter::default(),
+            backoffs: Counter::default(),
+            limit_changes: Counter::default(),
             permits: Family::default(),
             ended_under: Counter::default(),
             held_back: Counter::default(),
-            words: Family::default(),
+            refused_reports: Family::default(),
             duties: Family::default(),
-            first: Family::new_with_constructor(histogram),
+            first_byte: Family::new_with_constructor(histogram),
             total: Family::new_with_constructor(histogram),
             pauses: histogram(),
             peers: PeerFigures::default(),
@@ -243,7 +243,7 @@
 }
 
 /// The label of a route's kind.
-fn kind_of(route: &Route) -> &'static str {
+fn kind_label(route: &Route) -> &'static str {
     match route.kind {
         RouteKind::Repeatable => "repeatable",
         RouteKind::Once => "once",
@@ -263,9 +263,9 @@
         registry.register(
             "rests",
             "Answers of endpoints that asked to be sent nothing for a while",
-            self.rests.clone(),
+            self.backoffs.clone(),
         );
-        registry.register("limits_named", "Changes of rate limits that endpoints name", self.limits.clone());
+        registry.register("limits_named", "Changes of rate limits that endpoints name", self.limit_changes.clone());
         registry.register(
             "permits",
             "Answers to requests for endpoints with a rate limit, by outcome",
@@ -274,10 +274,19 @@
         registry.register("ended_under", "Requests under which their endpoint ended", self.ended_under.clone());
         let help = "Requests that a choice took to an endpoint which took no more: it warms up, rests, leaves, or its hall is evacuated";
         registry.register("held_back", help, self.held_back.clone());
-        registry.register("refused_words", "What endpoints said and was not taken in, by reason", self.words.clone());
+        registry.register(
+            "refused_words",
+            "What endpoints said and was not taken in, by reason",
+            self.refused_reports.clone(),
+        );
         registry.register("duty_calls", "Calls of the holder of a duty, by duty and outcome", self.duties.clone());
         let seconds = Unit::Seconds;
-        registry.register_with_unit("first", "From arrival to the first byte", seconds.clone(), self.first.clone());
+        registry.register_with_unit(
+            "first",
+            "From arrival to the first byte",
+            seconds.clone(),
+            self.first_byte.clone(),
+        );
         registry.register_with_unit("total", "From arrival to the end", seconds.clone(), self.total.clone());
         registry.register_with_unit("pause", "Between parts of a stream", seconds, self.pauses.clone());
         self.peers.register(registry);
@@ -314,28 +323,28 @@
     }
 
     /// Counts the end of a request; `route` is known once its place was found.
-    pub fn note_end(&self, route: Option<&Route>, ending: Ending, took: Duration) {
-        let kind = route.map_or("none", kind_of);
+    pub fn record_end(&self, route: Option<&Route>, ending: RequestOutcome, took: Duration) {
+        let kind = route.map_or("none", kind_label);
         let outcome = match ending {
-            Ending::Answered => "answered",
-            Ending::Refused => "refused",
-            Ending::Cut => "cut",
-            Ending::Left => "left",
+            RequestOutcome::Answered => "answered",
+            RequestOutcome::Refused => "refused",
+            RequestOutcome::Interrupted => "cut",
+            RequestOutcome::CallerLeft => "left",
         };
         let tier = route.map_or(0, |route| route.tier);
-        self.requests.get_or_create(&Ended { kind, tier, outcome }).inc();
-        if ending == Ending::Answered {
-            self.total.get_or_create(&Kind { kind }).observe(took.as_secs_f64());
+        self.requests.get_or_create(&RequestLabels { kind, tier, outcome }).inc();
+        if ending == RequestOutcome::Answered {
+            self.total.get_or_create(&KindLabel { kind }).observe(took.as_secs_f64());
         }
     }
 
     /// Counts a final answer of the instance itself.
-    pub fn note_refusal(&self, why: &'static str) {
-        self.refusals.get_or_create(&Why { why }).inc();
+    pub fn record_refusal(&self, why: &'static str) {
+        self.refusals.get_or_create(&ReasonLabel { why }).inc();
     }
 
     /// Counts a request sent to an endpoint, the first time or again.
-    pub fn note_attempt(&self, again: bool) {
+    pub fn record_attempt(&self, again: bool) {
         self.attempts.inc();
         if again {
             self.retries.inc();
@@ -343,32 +352,32 @@
     }
 
     /// Counts a stream taken up at another endpoint.
-    pub fn note_resume(&self) {
+    pub fn record_resume(&self) {
         self.resumes.inc();
     }
 
     /// Counts an endpoint left out.
-    pub fn note_ejection(&self) {
+    pub fn record_ejection(&self) {
         self.ejections.inc();
     }
 
     /// Counts an answer in which an endpoint asked to be sent nothing for a while.
-    pub fn note_rest(&self) {
-        self.rests.inc();
+    pub fn record_backoff(&self) {
+        self.backoffs.inc();
     }
 
     /// Counts a change of the rate limit that an endpoint names.
-    pub fn note_limit(&self) {
-        self.limits.inc();
+    pub fn record_limit_change(&self) {
+        self.limit_changes.inc();
     }
 
     /// Counts the answer to a request for an endpoint with a rate limit.
-    pub fn note_permit(&self, outcome: PermitOutcome) {
+    pub fn record_permit(&self, outcome: PermitOutcome) {
         let outcome = match outcome {
             PermitOutcome::Granted => "granted",
             PermitOutcome::Denied => "denied",
         };
-        self.permits.get_or_create(&Permits { outcome }).inc();
+        self.permits.get_or_create(&PermitLabel { outcome }).inc();
     }
 
     /// Sets how many endpoints have a rate limit.
@@ -377,13 +386,13 @@
     }
 
     /// Counts a request under which its endpoint ended.
-    pub fn note_ended_under(&self) {
+    pub fn record_ended_under(&self) {
         self.ended_under.inc();
     }
 
     /// Counts something that an endpoint, or another writer in its name, said and that was not taken in.
-    pub fn note_refused_word(&self, why: &'static str) {
-        self.words.get_or_create(&Why { why }).inc();
+    pub fn record_refused_report(&self, why: &'static str) {
+        self.refused_reports.get_or_create(&ReasonLabel { why }).inc();
     }
 
     /// Sets how many contents are refused because endpoints ended under them.
@@ -392,7 +401,7 @@
     }
 
     /// Counts a request that its endpoint could not be sent any more.
-    pub fn note_held_back(&self) {
+    pub fn record_held_back(&self) {
         self.held_back.inc();
     }
 
@@ -402,7 +411,7 @@
     }
 
     /// Counts a call that only the holder of a duty makes.
-    pub fn note_duty(&self, duty: &'static str, outcome: CallOutcome) {
+    pub fn record_duty(&self, duty: &'static str, outcome: CallOutcome) {
         let outcome = match outcome {
             CallOutcome::Taken => "taken",
             CallOutcome::NoneLeft => "none_left",
@@ -411,16 +420,16 @@
             CallOutcome::Lapsed => "lapsed",
             CallOutcome::Unknown => "unknown",
         };
-        self.duties.get_or_create(&Duty { duty, outcome }).inc();
+        self.duties.get_or_create(&DutyLabels { duty, outcome }).inc();
     }
 
     /// Records the time to the first byte of an answer.
-    pub fn note_first(&self, route: &Route, after: Duration) {
-        self.first.get_or_create(&Kind { kind: kind_of(route) }).observe(after.as_secs_f64());
+    pub fn record_first_byte(&self, route: &Route, after: Duration) {
+        self.first_byte.get_or_create(&KindLabel { kind: kind_label(route) }).observe(after.as_secs_f64());
     }
 
     /// Records the time between two parts of a stream.
-    pub fn note_pause(&self, pause: Duration) {
+    pub fn record_pause(&self, pause: Duration) {
         self.pauses.observe(pause.as_secs_f64());
     }
 
@@ -452,7 +461,7 @@
         state.left_out.set(number(standing.left_out.load(Ordering::Relaxed)));
         let view = shared.view.borrow();
         state.instances.set(number(view.entries.len() as u64));
-        state.memory.set(resident().unwrap_or_default());
+        state.memory.set(resident_bytes().unwrap_or_default());
         state.held.set(number(shared.holdings.held() as u64));
         state.held_peak.set(number(shared.holdings.peak() as u64));
         state.held_most.set(number(shared.holdings.most() as u64));
@@ -463,7 +472,7 @@
         let balance = shared.balance.borrow();
         for registration in &view.endpoints {
             let work = balance.at(&registration.endpoint);
-            let at = At { endpoint: registration.endpoint.to_string() };
+            let at = EndpointLabel { endpoint: registration.endpoint.to_string() };
             state.calls.get_or_create(&at).set(i64::from(work.calls));
             state.unread.get_or_create(&at).set(i64::from(work.unread));
         }
@@ -471,10 +480,10 @@
 }
 
 /// Resident memory in bytes, where the system tells it.
-fn resident() -> Option<i64> {
+fn resident_bytes() -> Option<i64> {
     let text = std::fs::read_to_string("/proc/self/statm").ok()?;
     let pages: i64 = text.split_whitespace().nth(1)?.parse().ok()?;
-    Some(pages * PAGE)
+    Some(pages * PAGE_SIZE)
 }
 
 /// Measures the pauses between the parts of one stream.
@@ -487,7 +496,7 @@
 
 impl PauseMeter {
     /// Records a part; returns the pause before it, but for the first.
-    pub fn note(&mut self, now: Moment) -> Option<Duration> {
+    pub fn record(&mut self, now: Moment) -> Option<Duration> {
         let before = self.before.replace(now)?;
         let pause = now.saturating_duration_since(before);
         self.longest = self.longest.max(pause);
--- a/crates/rudder-gateway/src/operate.rs
+++ b/crates/rudder-gateway/src/operate.rs
@@ -70,7 +70,7 @@
     if addresses.is_empty() {
         return empty(StatusCode::SERVICE_UNAVAILABLE);
     }
-    json(StatusCode::OK, shared.dialect.write_entries(&addresses, shared.options.keep))
+    json(StatusCode::OK, shared.dialect.write_entries(&addresses, shared.options.entries_ttl))
 }
 
 async fn replace<D: Dialect>(shared: &Shared<D>, body: Incoming) -> Response<AnswerBody> {
@@ -192,7 +192,7 @@
 
 /// Refuses what an endpoint, or another writer in its name, said; what is known of the endpoint stands.
 fn refuse_word<D: Dialect>(shared: &Shared<D>, name: &str, word: &ReportError) -> Response<AnswerBody> {
-    shared.metrics.note_refused_word(word.reason());
+    shared.metrics.record_refused_report(word.reason());
     shared.log.write(What::WordRefused { endpoint: shorten(name), why: word.to_string() });
     fault(StatusCode::BAD_REQUEST, &word.to_string())
 }
--- a/crates/rudder-gateway/src/options.rs
+++ b/crates/rudder-gateway/src/options.rs
@@ -68,11 +68,11 @@
     /// No keyed request starts without proof of the configuration this young.
     pub max_proof_age: Duration,
     /// A request is told that its route or key does not exist only with proof this young.
-    pub fresh_denial: Duration,
+    pub max_denial_proof_age: Duration,
     /// How long callers may keep the list of entries.
-    pub keep: Duration,
+    pub entries_ttl: Duration,
     /// Callers may keep it this many times as long.
-    pub keep_stretch: u32,
+    pub entries_ttl_factor: u32,
     /// From the signal to stop to the kill.
     pub grace: Duration,
     /// Requests sent again, as a share of the requests.
@@ -82,17 +82,17 @@
     /// Requests sent again beyond the share, in one window, over all instances.
     pub retry_extra: u32,
     /// A request refused because its endpoints are full is told to come back after this.
-    pub come_back: Duration,
+    pub retry_after: Duration,
     /// A request refused because this instance lacks proof of the configuration is told to come back
     /// after this: about the time that an election takes.
-    pub recover: Duration,
+    pub recovery_retry_after: Duration,
     /// Time from a start until the configuration is proved where all instances start at once: an election and
     /// the spread of the configuration.
-    pub start_up: Duration,
+    pub startup_time: Duration,
     /// Time between an endpoint's heartbeats.
     pub heartbeat: Duration,
     /// Time between questions for news.
-    pub watch: Duration,
+    pub poll_interval: Duration,
     /// Lines logged in a second at most.
     pub log_lines: u32,
     /// Bytes of memory that the process may take, where the settings tell it.
@@ -115,18 +115,18 @@
             data: None,
             voters: 3,
             max_proof_age: Duration::from_millis(4500),
-            fresh_denial: Duration::from_millis(1500),
-            keep: Duration::from_secs(4),
-            keep_stretch: 3,
+            max_denial_proof_age: Duration::from_millis(1500),
+            entries_ttl: Duration::from_secs(4),
+            entries_ttl_factor: 3,
             grace: Duration::from_secs(8),
             retry_ratio: 0.2,
             retry_window: Duration::from_secs(10),
             retry_extra: 50,
-            come_back: Duration::from_millis(300),
-            recover: Duration::from_millis(700),
-            start_up: Duration::from_secs(1),
+            retry_after: Duration::from_millis(300),
+            recovery_retry_after: Duration::from_millis(700),
+            startup_time: Duration::from_secs(1),
             heartbeat: Duration::from_millis(1200),
-            watch: Duration::from_millis(100),
+            poll_interval: Duration::from_millis(100),
             log_lines: 600,
             memory: None,
             duties: None,
--- a/crates/rudder-gateway/src/peers/mod.rs
+++ b/crates/rudder-gateway/src/peers/mod.rs
@@ -73,8 +73,8 @@
         let size = frame.len();
         let taken = self.queue_to(to).push(frame);
         let fate = if taken { PeerFrame::Sent } else { PeerFrame::Dropped };
-        self.figures.note(fate, kind, size);
-        self.figures.note_waiting(self.waiting.bytes(), self.waiting.most());
+        self.figures.record(fate, kind, size);
+        self.figures.record_queued(self.waiting.bytes(), self.waiting.most());
     }
 
     fn queue_to(&mut self, to: &InstanceId) -> Rc<Queue> {
@@ -151,10 +151,10 @@
         };
         let kind = message.kind();
         if inputs.len() >= EVENTS_MOST {
-            figures.note(PeerFrame::Dropped, kind, frame.len());
+            figures.record(PeerFrame::Dropped, kind, frame.len());
             continue;
         }
-        figures.note(PeerFrame::Received, kind, frame.len());
+        figures.record(PeerFrame::Received, kind, frame.len());
         if inputs.send(Event::Peer { from, message }).is_err() {
             return;
         }
--- a/crates/rudder-gateway/src/shared.rs
+++ b/crates/rudder-gateway/src/shared.rs
@@ -236,7 +236,7 @@
     }
 
     /// Counts a request that began to run at an endpoint at `at`, for the organisation that holds its key.
-    pub fn note_begun(&self, organisation: Option<&Arc<str>>, at: Moment) {
+    pub fn record_begun(&self, organisation: Option<&Arc<str>>, at: Moment) {
         let wanted = self.options.duties.as_ref().is_some_and(|duties| duties.core.usage.is_some());
         let Some(organisation) = organisation.filter(|_| wanted) else { return };
         let at = at.saturating_duration_since(self.started);
@@ -269,11 +269,11 @@
     /// When a request that lacks proof of the configuration should come back: after the rest of a start, or
     /// after the time that an election takes.
     pub fn recovers_in(&self) -> Duration {
-        let recover = self.options.recover;
+        let recover = self.options.recovery_retry_after;
         if self.proof_age().is_some() {
             return recover;
         }
-        let rest = self.options.start_up.saturating_sub(self.started.elapsed());
+        let rest = self.options.startup_time.saturating_sub(self.started.elapsed());
         rest.max(recover / 2)
     }
 
@@ -360,7 +360,7 @@
     pub fn try_take_place(&self, choice: &Choice, permit: Option<Permit>, now: Moment) -> bool {
         let taken = self.may_send(choice, permit, now) && self.try_take_share(choice, now);
         if !taken {
-            self.metrics.note_held_back();
+            self.metrics.record_held_back();
         }
         taken
     }
@@ -444,7 +444,7 @@
         let suspects = services.iter().flat_map(|tallies| recent::suspects(tallies)).collect();
         for endpoint in self.health.borrow_mut().set_suspects(suspects) {
             let Tally { ended, failed } = balance.tally(&endpoint, now);
-            self.metrics.note_ejection();
+            self.metrics.record_ejection();
             self.log.write(What::Suspect { endpoint, ended, failed });
         }
     }
--- a/crates/rudder-gateway/src/stop.rs
+++ b/crates/rudder-gateway/src/stop.rs
@@ -31,7 +31,7 @@
     shared.stage.send_replace(Stage::Leaving);
     shared.tell(Event::Stop);
     let options = &shared.options;
-    let lists = options.keep * options.keep_stretch + LIST_MARGIN;
+    let lists = options.entries_ttl * options.entries_ttl_factor + LIST_MARGIN;
     let last = options.grace.mul_f64(CUT);
     tokio::time::sleep(lists.min(SERVE).min(options.grace.mul_f64(SERVE_MOST))).await;
     shared.stage.send_replace(Stage::Closing);
--- a/crates/rudder-gateway/src/stream.rs
+++ b/crates/rudder-gateway/src/stream.rs
@@ -17,17 +17,17 @@
 
 use crate::{
     Dialect,
-    body::{AnswerBody, Broken},
-    call::{self, Call, Leg, Progress, Resume},
+    body::{AnswerBody, Interrupted},
+    call::{self, Call, EndpointAnswer, Progress, ResumePoint},
     choose::Choice,
     health::Outcome,
     holdings::Hold,
-    metrics::{Ending, PauseMeter},
+    metrics::{PauseMeter, RequestOutcome},
     shared::Shared,
 };
 
 /// Parts of a stream that wait for a slow caller.
-const WAITING: usize = 8;
+const MAX_QUEUED_PARTS: usize = 8;
 /// What ends an event.
 const EVENT_END: &[u8] = b"\n\n";
 
@@ -49,7 +49,7 @@
         let whole = self.pending.split_to(end).freeze();
         for event in split_events(&whole) {
             self.count += 1;
-            self.last = id_of(event).or(self.last);
+            self.last = event_id(event).or(self.last);
         }
         whole
     }
@@ -81,7 +81,7 @@
 }
 
 /// The id that an event names.
-fn id_of(event: &[u8]) -> Option<u64> {
+fn event_id(event: &[u8]) -> Option<u64> {
     let mut lines = event.split(|byte| *byte == b'\n');
     let value = lines.find_map(|line| line.strip_prefix(b"id:"))?;
     std::str::from_utf8(value).ok()?.trim().parse().ok()
@@ -90,28 +90,33 @@
 /// How one endpoint's part of a stream ended.
 enum End {
     /// Whole.
-    Whole,
+    Complete,
     /// Broken off by the endpoint.
-    Broken,
+    Interrupted,
     /// Nothing came for long; the right to another attempt is taken.
-    Silent,
+    Unresponsive,
     /// The caller left.
-    Left,
+    CallerLeft,
     /// Time ran out.
-    Late,
+    DeadlineExceeded,
 }
 
 /// Starts passing a stream on; the answer keeps the head of its first endpoint.
-pub fn start<D: Dialect>(shared: &Rc<Shared<D>>, call: Call, progress: Progress, leg: Leg) -> Response<AnswerBody> {
-    let (sender, receiver) = mpsc::channel(WAITING);
-    let mut answer = Response::new(AnswerBody::Parts(receiver));
-    *answer.status_mut() = leg.response.status();
-    *answer.headers_mut() = leg.response.headers().clone();
-    call::strip_hop_headers(answer.headers_mut());
+pub fn start<D: Dialect>(
+    shared: &Rc<Shared<D>>,
+    call: Call,
+    progress: Progress,
+    answer: EndpointAnswer,
+) -> Response<AnswerBody> {
+    let (sender, receiver) = mpsc::channel(MAX_QUEUED_PARTS);
+    let mut response = Response::new(AnswerBody::Parts(receiver));
+    *response.status_mut() = answer.response.status();
+    *response.headers_mut() = answer.response.headers().clone();
+    call::strip_hop_headers(response.headers_mut());
     let shared = shared.clone();
     shared.open.set(shared.open.get() + 1);
     tokio::task::spawn_local(async move {
-        let mut pump = Pump {
+        let mut relay = Relay {
             shared: &shared,
             call,
             progress,
@@ -120,195 +125,199 @@
             first: None,
             pauses: PauseMeter::default(),
         };
-        pump.run(leg).await;
-        drop(pump);
+        relay.run(answer).await;
+        drop(relay);
         shared.open.set(shared.open.get() - 1);
     });
-    answer
+    response
 }
 
-struct Pump<'a, D> {
+struct Relay<'a, D> {
     shared: &'a Rc<Shared<D>>,
     call: Call,
     progress: Progress,
     events: Events,
-    sender: mpsc::Sender<Result<Bytes, Broken>>,
+    sender: mpsc::Sender<Result<Bytes, Interrupted>>,
     first: Option<Moment>,
     pauses: PauseMeter,
 }
 
-impl<D: Dialect> Pump<'_, D> {
-    async fn run(&mut self, leg: Leg) {
-        let mut leg = leg;
+impl<D: Dialect> Relay<'_, D> {
+    async fn run(&mut self, answer: EndpointAnswer) {
+        let mut answer = answer;
         loop {
-            let choice = leg.choice.clone();
-            let end = self.pass(leg).await;
+            let choice = answer.choice.clone();
+            let end = self.relay(answer).await;
             let why = match &end {
-                End::Whole => {
-                    call::note_answered(self.shared, &self.call);
+                End::Complete => {
+                    call::record_answered(self.shared, &self.call);
                     return self.log_answered(&choice.endpoint);
                 }
-                End::Left => {
-                    self.note_end(Ending::Left);
+                End::CallerLeft => {
+                    self.record_end(RequestOutcome::CallerLeft);
                     return self.log_cut(&choice.endpoint, "the caller left");
                 }
-                End::Late => "time ran out",
-                End::Broken => "the endpoint broke off",
-                End::Silent => "the endpoint is silent",
+                End::DeadlineExceeded => "time ran out",
+                End::Interrupted => "the endpoint broke off",
+                End::Unresponsive => "the endpoint is silent",
             };
             self.log_cut(&choice.endpoint, why);
-            let ended = matches!(end, End::Broken) && self.note_if_ended(&choice).await;
+            let ended = matches!(end, End::Interrupted) && self.record_if_ended(&choice).await;
             let next = match end {
-                End::Broken if self.has_copy() && ended => self.go_on_from_copy().await,
-                End::Broken if self.has_copy() => None,
-                End::Broken => self.resume(false).await,
-                End::Silent => self.resume(true).await,
+                End::Interrupted if self.has_copy() && ended => self.resume_from_copy().await,
+                End::Interrupted if self.has_copy() => None,
+                End::Interrupted => self.resume(false).await,
+                End::Unresponsive => self.resume(true).await,
                 _ => None,
             };
             let Some(next) = next else {
-                self.note_end(Ending::Cut);
-                let _ = self.sender.send(Err(Broken)).await;
+                self.record_end(RequestOutcome::Interrupted);
+                let _ = self.sender.send(Err(Interrupted)).await;
                 return;
             };
-            leg = next;
+            answer = next;
         }
     }
 
     /// Passes on what one endpoint sends.
-    async fn pass(&mut self, leg: Leg) -> End {
-        let Leg { choice, response, head, connection, mut flight, sent, continued } = leg;
+    async fn relay(&mut self, answer: EndpointAnswer) -> End {
+        let EndpointAnswer { choice, response, head, connection, mut flight, sent, continued } = answer;
         let mut body = response.into_body();
         let whole_events = self.call.route.resumable || self.has_copy();
         // A stream that cannot be resumed is waited for to its end.
-        let impatient = self.shared.options.policy.guard.impatience && self.call.route.resumable;
-        let patience = impatient.then(|| self.call.patience());
-        let mut impatient = patience.map(|patience| Moment::now() + patience);
+        let may_abandon = self.shared.options.policy.guard.impatience && self.call.route.resumable;
+        let timeout = may_abandon.then(|| self.call.silence_timeout());
+        let mut silent_at = timeout.map(|timeout| Moment::now() + timeout);
         let mut began = continued;
         let shared = self.shared.clone();
         let mut replaced = std::pin::pin!(shared.wait_replaced(&choice.endpoint));
         loop {
             let frame = tokio::select! {
                 frame = body.frame() => frame,
-                () = self.sender.closed() => return End::Left,
-                () = &mut replaced => return End::Broken,
-                () = sleep_until(impatient.unwrap_or(self.call.until)), if impatient.is_some() => {
-                    impatient = None;
-                    if call::may_give_up(self.shared, &self.call, &mut self.progress) {
-                        call::note_outcome(self.shared, &choice.endpoint, Outcome::Failed);
-                        return End::Silent;
+                () = self.sender.closed() => return End::CallerLeft,
+                () = &mut replaced => return End::Interrupted,
+                () = sleep_until(silent_at.unwrap_or(self.call.deadline)), if silent_at.is_some() => {
+                    silent_at = None;
+                    if call::take_retry_for_silent(self.shared, &self.call, &mut self.progress) {
+                        call::record_outcome(self.shared, &choice.endpoint, Outcome::Failed);
+                        return End::Unresponsive;
                     }
                     continue;
                 }
-                () = sleep_until(self.call.until) => return End::Late,
+                () = sleep_until(self.call.deadline) => return End::DeadlineExceeded,
             };
             let Some(frame) = frame else { break };
             let Ok(frame) = frame else {
-                call::note_outcome(self.shared, &choice.endpoint, Outcome::Failed);
-                return End::Broken;
+                call::record_outcome(self.shared, &choice.endpoint, Outcome::Failed);
+                return End::Interrupted;
             };
             let Ok(bytes) = frame.into_data() else { continue };
-            impatient = patience.map(|patience| Moment::now() + patience);
+            silent_at = timeout.map(|timeout| Moment::now() + timeout);
             if self.first.is_none() {
                 let now = Moment::now();
                 self.first = Some(now);
                 let tokens = choice.ahead + choice.unread;
                 let after = now.saturating_duration_since(sent);
-                self.shared.metrics.note_first(&self.call.route, now.saturating_duration_since(self.call.arrived));
+                self.shared
+                    .metrics
+                    .record_first_byte(&self.call.route, now.saturating_duration_since(self.call.arrived));
                 self.shared.reading.borrow_mut().note(&choice.service, tokens, after);
             }
-            if let Some(pause) = self.pauses.note(Moment::now()) {
-                self.shared.metrics.note_pause(pause);
+            if let Some(pause) = self.pauses.record(Moment::now()) {
+                self.shared.metrics.record_pause(pause);
             }
             flight.note_read();
             if !began {
                 // An engine begins a request with its first output.
                 began = true;
-                call::note_begun(self.shared, &self.call, &mut self.progress, Moment::now());
+                call::record_begun(self.shared, &self.call, &mut self.progress, Moment::now());
             }
             let whole = self.events.push(&bytes);
             let part = if whole_events { whole } else { bytes };
             if part.is_empty() {
                 continue;
             }
-            if let Err(end) = self.hand_on(&part).await {
+            if let Err(end) = self.forward(&part).await {
                 return end;
             }
         }
         if !self.events.pending().is_empty() {
-            call::note_outcome(self.shared, &choice.endpoint, Outcome::Failed);
-            return End::Broken;
+            call::record_outcome(self.shared, &choice.endpoint, Outcome::Failed);
+            return End::Interrupted;
         }
-        call::note_outcome(self.shared, &choice.endpoint, Outcome::Good);
-        call::put_back(self.shared, &choice.endpoint, connection, head.keep_alive);
-        End::Whole
+        call::record_outcome(self.shared, &choice.endpoint, Outcome::Good);
+        call::return_connection(self.shared, &choice.endpoint, connection, head.keep_alive);
+        End::Complete
     }
 
     /// Hands a part on to the caller. While too much is held for others, the endpoint is read no further.
-    async fn hand_on(&mut self, part: &[u8]) -> Result<(), End> {
+    async fn forward(&mut self, part: &[u8]) -> Result<(), End> {
         let mut hold = Hold::new(&self.shared.holdings);
         let fits = tokio::select! {
-            fits = timeout_at(self.call.until, hold.grow(part.len())) => fits,
-            () = self.sender.closed() => return Err(End::Left),
+            fits = timeout_at(self.call.deadline, hold.grow(part.len())) => fits,
+            () = self.sender.closed() => return Err(End::CallerLeft),
         };
-        fits.map_err(|_| End::Late)?.map_err(|_| End::Late)?;
-        self.sender.send(Ok(hold.keep(part.to_vec(), Some(self.call.cut.clone())))).await.map_err(|_| End::Left)
+        fits.map_err(|_| End::DeadlineExceeded)?.map_err(|_| End::DeadlineExceeded)?;
+        self.sender.send(Ok(hold.keep(part.to_vec(), Some(self.call.cut.clone())))).await.map_err(|_| End::CallerLeft)
     }
 
     /// True where another endpoint keeps a copy of the stream's memory. A resumable stream goes on anywhere.
     fn has_copy(&self) -> bool {
-        let kept = self.progress.last.as_ref().is_some_and(|last| last.keeper.is_some());
+        let kept = self.progress.last_choice.as_ref().is_some_and(|last| last.keeper.is_some());
         kept && !self.call.route.resumable
     }
 
-    async fn note_if_ended(&mut self, choice: &Choice) -> bool {
-        call::note_if_ended(self.shared, &self.call, &mut self.progress, choice).await
+    async fn record_if_ended(&mut self, choice: &Choice) -> bool {
+        call::record_if_ended(self.shared, &self.call, &mut self.progress, choice).await
     }
 
-    async fn go_on_from_copy(&mut self) -> Option<Leg> {
+    async fn resume_from_copy(&mut self) -> Option<EndpointAnswer> {
         self.events.drop_pending();
         let last = self.events.last?;
-        let next = call::go_on_from_copy(self.shared, &self.call, &mut self.progress, last);
-        timeout_at(self.call.until, next).await.ok()?
+        let next = call::resume_from_copy(self.shared, &self.call, &mut self.progress, last);
+        timeout_at(self.call.deadline, next).await.ok()?
     }
 
     /// Takes the stream up at another endpoint, after the last whole event.
-    async fn resume(&mut self, taken: bool) -> Option<Leg> {
+    async fn resume(&mut self, retry_taken: bool) -> Option<EndpointAnswer> {
         if !self.call.route.resumable {
             return None;
         }
-        let mut right = taken || call::may_send_again(self.shared, &self.call, &mut self.progress);
-        while right {
+        let mut has_retry = retry_taken || call::take_retry(self.shared, &self.call, &mut self.progress);
+        while has_retry {
             self.events.drop_pending();
             let last = self.events.last.or(self.call.last_event);
-            let from = Resume { last_event: last, copy: false };
+            let from = ResumePoint { last_event: last, from_copy: false };
             let attempted = call::attempt(self.shared, &self.call, &mut self.progress, from);
-            right = match timeout_at(self.call.until, attempted).await.ok()?.ok()? {
-                Ok(leg) if leg.response.status().is_success() && !leg.head.not_run && !leg.head.misdirected => {
-                    self.shared.metrics.note_resume();
-                    return Some(leg);
+            has_retry = match timeout_at(self.call.deadline, attempted).await.ok()?.ok()? {
+                Ok(answer)
+                    if answer.response.status().is_success() && !answer.head.not_run && !answer.head.misdirected =>
+                {
+                    self.shared.metrics.record_resume();
+                    return Some(answer);
                 }
-                Ok(leg) => self.may_resume_after(&leg),
-                Err(failure) => call::may_go_on(self.shared, &self.call, &mut self.progress, &failure),
+                Ok(answer) => self.take_retry_after_not_run(&answer),
+                Err(failure) => call::take_retry_after(self.shared, &self.call, &mut self.progress, &failure),
             };
         }
         None
     }
 
     /// Takes the right to try another endpoint after one that did not take the stream up.
-    fn may_resume_after(&mut self, leg: &Leg) -> bool {
-        call::log_failure(self.shared, &self.call, &self.progress, &leg.choice, "it does not go on", Ran::No);
+    fn take_retry_after_not_run(&mut self, answer: &EndpointAnswer) -> bool {
+        call::log_failure(self.shared, &self.call, &self.progress, &answer.choice, "it does not go on", Ran::No);
         // What did not run needs no new right of the route.
-        self.progress.ran = self.progress.ran.saturating_sub(1);
-        call::may_send_again(self.shared, &self.call, &mut self.progress)
+        self.progress.possible_runs = self.progress.possible_runs.saturating_sub(1);
+        call::take_retry(self.shared, &self.call, &mut self.progress)
     }
 
-    fn note_end(&self, ending: Ending) {
-        self.shared.metrics.note_end(Some(&self.call.route), ending, self.call.arrived.elapsed());
+    fn record_end(&self, ending: RequestOutcome) {
+        self.shared.metrics.record_end(Some(&self.call.route), ending, self.call.arrived.elapsed());
     }
 
     fn log_answered(&self, endpoint: &rudder_model::EndpointId) {
         let since = |at: Moment| at.saturating_duration_since(self.call.arrived).as_millis() as u64;
-        self.note_end(Ending::Answered);
+        self.record_end(RequestOutcome::Answered);
         self.shared.log.write(What::CallAnswered {
             request: self.call.id.clone(),
             endpoint: endpoint.clone(),
