--- a/crates/rudder-gateway/src/call/admit.rs
+++ b/crates/rudder-gateway/src/call/admit.rs
@@ -47,13 +47,13 @@
     head: CallHead,
     body: Incoming,
 ) -> Result<Call, Refusal> {
-    let retry_after = shared.recovers_in();
+    let retry_after = shared.recovery_time();
     let host = host_of(&parts);
     let path = parts.uri.path();
     let Some(mut plan) = shared.current_plan() else { return Err(not_run("no configuration yet", retry_after)) };
     let mut admitted = admit(&plan, &head, &host, path);
     if admitted.is_err() && !shared.is_fresh(shared.options.max_denial_proof_age) {
-        if !shared.prove(arrived, DENIAL_PROOF_TIMEOUT).await {
+        if !shared.wait_for_proof(arrived, DENIAL_PROOF_TIMEOUT).await {
             return Err(not_run("the configuration may be old", retry_after));
         }
         plan = shared.current_plan().unwrap_or(plan);
--- a/crates/rudder-gateway/src/call/attempt.rs
+++ b/crates/rudder-gateway/src/call/attempt.rs
@@ -170,7 +170,7 @@
     if left.is_zero() {
         return Err(Failure::DeadlineExceeded);
     }
-    if !shared.try_take_place(&choice, permit, now) {
+    if !shared.try_reserve(&choice, permit, now) {
         return_connection(shared, &choice.endpoint, connection, None);
         return Err(Failure::NotSent("the endpoint takes no more for now"));
     }
@@ -231,7 +231,7 @@
 fn record_limit<D: Dialect>(shared: &Shared<D>, endpoint: &EndpointId, notice: LimitNotice, sent: Moment) {
     let recorded = shared.limits.borrow_mut().record_answer(endpoint, notice, sent, Moment::now());
     let Some(Recorded { changed, report }) = recorded else { return };
-    shared.tell(Event::Limit(report));
+    shared.send_event(Event::Limit(report));
     if !changed {
         return;
     }
@@ -363,6 +363,6 @@
     if let Some(connection) = idle {
         return Ok(connection);
     }
-    let bound = upstream::CONNECT.min(call.deadline.saturating_duration_since(now));
+    let bound = upstream::CONNECT_TIMEOUT.min(call.deadline.saturating_duration_since(now));
     upstream::connect(&choice.address, bound).await.map_err(|_| "it cannot be reached")
 }
--- a/crates/rudder-gateway/src/call/ended.rs
+++ b/crates/rudder-gateway/src/call/ended.rs
@@ -18,7 +18,7 @@
     progress: &mut Progress,
     choice: &Choice,
 ) -> bool {
-    if !shared.is_replaced(&choice.endpoint) && !upstream::has_ended(&choice.address).await {
+    if !shared.is_replaced(&choice.endpoint) && !upstream::refuses_connections(&choice.address).await {
         shared.contents.borrow_mut().note_broken(call.content, &choice.endpoint);
         return false;
     }
@@ -31,7 +31,7 @@
     });
     let findings = shared.contents.borrow().note_ended(call.content, &choice.endpoint);
     if let Some(findings) = findings {
-        shared.tell(Event::Findings(findings));
+        shared.send_event(Event::Findings(findings));
     }
     true
 }
@@ -40,7 +40,7 @@
 pub fn record_answered<D: Dialect>(shared: &Shared<D>, call: &Call) {
     let findings = shared.contents.borrow_mut().note_answered(call.content, Moment::now());
     if let Some(findings) = findings {
-        shared.tell(Event::Findings(findings));
+        shared.send_event(Event::Findings(findings));
     }
 }
 
--- a/crates/rudder-gateway/src/call/mod.rs
+++ b/crates/rudder-gateway/src/call/mod.rs
@@ -174,7 +174,7 @@
 
 impl<D: Dialect> Drop for OpenRequest<D> {
     fn drop(&mut self) {
-        self.shared.open.set(self.shared.open.get() - 1);
+        self.shared.open_requests.set(self.shared.open_requests.get() - 1);
         if !self.answered {
             self.shared.metrics.record_end(None, RequestOutcome::CallerLeft, self.arrived.elapsed());
             self.shared.log.write(What::Left { request: std::mem::take(&mut self.id) });
@@ -185,7 +185,7 @@
 /// Serves one request.
 pub async fn handle<D: Dialect>(shared: Rc<Shared<D>>, request: Request<Incoming>) -> Response<AnswerBody> {
     let arrived = Moment::now();
-    shared.open.set(shared.open.get() + 1);
+    shared.open_requests.set(shared.open_requests.get() + 1);
     let (parts, body) = request.into_parts();
     let head = shared.dialect.read_call(&parts);
     let id = head.id.clone();
@@ -193,7 +193,7 @@
     let read = match *shared.stage.borrow() {
         // It came while its connection was being closed.
         Stage::Closing => Err(refusal::not_run("the instance is stopping", STOPPING_RETRY_AFTER)),
-        Stage::Serving | Stage::Leaving => Ok(()),
+        Stage::Serving | Stage::Draining => Ok(()),
     };
     let answer = match read {
         Ok(()) => admit_and_send(&shared, arrived, parts, head, body).await,
--- a/crates/rudder-gateway/src/call/rate_limit.rs
+++ b/crates/rudder-gateway/src/call/rate_limit.rs
@@ -29,8 +29,8 @@
     if let Some(permit) = shared.limits.borrow_mut().take_spare(endpoint, tier, asked) {
         return Ok(Some(permit));
     }
-    let (ticket, reply) = shared.tickets.draw();
-    shared.tell(Event::AskPermit { ticket, request });
+    let (ticket, reply) = shared.tickets.issue();
+    shared.send_event(Event::AskPermit { ticket, request });
     let Ok(Reply::Permit(answer)) = reply.await else { return Err("the control thread has ended") };
     match answer {
         PermitAnswer::Granted(count) => {
--- a/crates/rudder-gateway/src/driver.rs
+++ b/crates/rudder-gateway/src/driver.rs
@@ -19,28 +19,28 @@
 
 use crate::{
     Options,
-    duty::Errand,
+    duty::DutyTask,
     logging::Log,
-    metrics::Standing,
-    shared::{Published, Reply},
+    metrics::ControlStatus,
+    shared::{PublishedView, Reply},
 };
 
 /// Time between ticks of the reducer.
-const TICK: Duration = Duration::from_millis(50);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 /// Bytes of commands in the log that make a snapshot due.
-const SNAPSHOT: u64 = 512 << 10;
+const SNAPSHOT_BYTES: u64 = 512 << 10;
 /// Entries kept before the snapshot for followers that lag a little.
-const KEEP: u64 = 4;
+const SNAPSHOT_KEEP_ENTRIES: u64 = 4;
 
 /// Heartbeats that an endpoint may miss before it is shown as silent: one may be lost with the instance that it went to.
-const HEARTBEATS_MISSED: u32 = 2;
+const MAX_MISSED_HEARTBEATS: u32 = 2;
 /// A heartbeat may come this much late.
-const HEARTBEAT_LATE: Duration = Duration::from_millis(2600);
+const MAX_HEARTBEAT_DELAY: Duration = Duration::from_millis(2600);
 
 /// Entries in messages that may wait for the traffic thread, some 200 bytes each: about as much as may wait for links.
-const BACKLOG_MOST: usize = 60_000;
+const MAX_BACKLOG_ENTRIES: usize = 60_000;
 /// A message of so many entries goes out whatever waits: leases and the log go on by such.
-const LIGHT: usize = 16;
+const SMALL_MESSAGE_ENTRIES: usize = 16;
 
 /// Something for the traffic thread.
 #[derive(Debug)]
@@ -48,7 +48,7 @@
     /// Send a message to another instance.
     Send(InstanceId, PeerMessage),
     /// The view changed.
-    Published(Box<Published>),
+    Published(Box<PublishedView>),
     /// The work of the other instances at endpoints, where it has changed, and when it was so.
     Others(Option<Vec<Load>>, Moment),
     /// The rate limits of endpoints, as of this time.
@@ -58,7 +58,7 @@
     /// Somebody's ticket is answered.
     Reply(u64, Reply),
     /// Make a call that only the holder of a duty makes.
-    Errand(Box<Errand>),
+    DutyCall(Box<DutyTask>),
 }
 
 /// The control thread's state around the reducer's.
@@ -68,16 +68,16 @@
     notices: UnboundedSender<Vec<Notice>>,
     disk: Option<Sender<Job>>,
     log: Log,
-    edition: u64,
-    works: u64,
-    limits: u64,
+    view_edition: u64,
+    others_edition: u64,
+    limits_edition: u64,
     others_at: Option<Duration>,
     proved: Option<Duration>,
     endpoints: Vec<Arc<Registration>>,
     batch: Vec<Notice>,
-    standing: Arc<Standing>,
+    status: Arc<ControlStatus>,
     /// Origin of the time of day that the reducer was told last.
-    clock: Duration,
+    clock_origin: Duration,
     handover: Duration,
 }
 
@@ -98,13 +98,13 @@
         hall: options.hall.clone(),
         start: rand::random(),
         address: options.listeners.callers.map(|callers| callers.to_string()),
-        epoch: to_origin(epoch),
+        epoch: wall_clock_at(epoch),
     };
-    let clock = me.epoch;
+    let clock_origin = me.epoch;
     let handover = options.duties.as_ref().map(|duties| duties.core.handover).unwrap_or_default();
     let (disk, durable) = open_disk(options, &name, inputs)?;
     log.write(What::Started { hall: me.hall.clone(), start: me.start });
-    let state = State::new(epoch.elapsed(), me, to_core(options), durable);
+    let state = State::new(epoch.elapsed(), me, core_options(options), durable);
     let endpoints = Vec::new();
     Ok(Driver {
         state,
@@ -112,21 +112,21 @@
         notices,
         disk,
         log,
-        edition: 0,
-        works: 0,
-        limits: 0,
+        view_edition: 0,
+        others_edition: 0,
+        limits_edition: 0,
         others_at: None,
         proved: None,
         endpoints,
         batch: Vec::new(),
-        standing: Arc::default(),
-        clock,
+        status: Arc::default(),
+        clock_origin,
         handover,
     })
 }
 
 /// The time of day at `epoch`, by the clock of this machine as it stands now.
-fn to_origin(epoch: Moment) -> Duration {
+fn wall_clock_at(epoch: Moment) -> Duration {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     now.saturating_sub(epoch.elapsed())
 }
@@ -151,7 +151,7 @@
     Ok((Some(sender), Some((outcome.id, outcome.durable))))
 }
 
-fn to_core(options: &Options) -> rudder_core::Options {
+fn core_options(options: &Options) -> rudder_core::Options {
     rudder_core::Options {
         seeds: options.seeds.clone(),
         founders: if options.bootstrap { options.seeds.clone() } else { Vec::new() },
@@ -159,17 +159,17 @@
         freshness_bound: options.max_proof_age,
         liveness_timeout: Duration::from_millis(800),
         entries_ttl: options.entries_ttl,
-        snapshot_bytes: SNAPSHOT,
-        silence_timeout: options.heartbeat * HEARTBEATS_MISSED + HEARTBEAT_LATE,
+        snapshot_bytes: SNAPSHOT_BYTES,
+        silence_timeout: options.heartbeat * MAX_MISSED_HEARTBEATS + MAX_HEARTBEAT_DELAY,
         tree: options.policy.relays.clone(),
-        duties: to_duties(options),
+        duties: duty_options(options),
         replica: rudder_replica::Options {
             heartbeat: Duration::from_millis(75),
             election: Duration::from_millis(400),
             lease: Duration::from_millis(300),
             replace: Duration::from_millis(1500),
             voters: options.voters,
-            keep: KEEP,
+            keep: SNAPSHOT_KEEP_ENTRIES,
             seed: rand::random(),
             ..rudder_replica::Options::default()
         },
@@ -178,7 +178,7 @@
 }
 
 /// The duties of the settings, with what the policy says of them.
-fn to_duties(options: &Options) -> DutyOptions {
+fn duty_options(options: &Options) -> DutyOptions {
     let Some(duties) = &options.duties else { return DutyOptions::default() };
     let scaling = duties.core.scaling.as_ref().map(|_| options.policy.scaling.clone());
     DutyOptions { scaling, ..duties.core.clone() }
@@ -186,8 +186,8 @@
 
 impl Driver {
     /// Where the replica stands, for the metrics.
-    pub fn standing(&self) -> Arc<Standing> {
-        self.standing.clone()
+    pub fn status(&self) -> Arc<ControlStatus> {
+        self.status.clone()
     }
 
     /// When the process started, as the reducer counts time.
@@ -196,26 +196,26 @@
     }
 
     /// Tells the reducer when the clock of this machine has stepped.
-    fn note_clock(&mut self) {
-        let origin = to_origin(self.epoch);
-        if origin.abs_diff(self.clock) >= clock::STEP {
-            self.clock = origin;
+    fn check_clock(&mut self) {
+        let origin = wall_clock_at(self.epoch);
+        if origin.abs_diff(self.clock_origin) >= clock::STEP {
+            self.clock_origin = origin;
             self.reduce(Event::ClockStepped(origin));
         }
     }
 
-    fn note_standing(&self) {
-        self.standing.untold.store(self.state.unreported_requests(), Ordering::Relaxed);
+    fn update_status(&self) {
+        self.status.unreported_requests.store(self.state.unreported_requests(), Ordering::Relaxed);
         let Some(control) = &self.state.control else { return };
         let replica = &control.replica;
-        self.standing.term.store(replica.term(), Ordering::Relaxed);
-        self.standing.leads.store(replica.leads(self.epoch.elapsed()), Ordering::Relaxed);
+        self.status.term.store(replica.term(), Ordering::Relaxed);
+        self.status.is_leader.store(replica.leads(self.epoch.elapsed()), Ordering::Relaxed);
         let duty_until = control.duty_until(self.epoch.elapsed(), self.handover).unwrap_or_default();
-        self.standing.duty_until.store(duty_until.as_micros() as u64, Ordering::Relaxed);
-        self.standing.windows.store(control.ledger.usage.closed().len() as u64, Ordering::Relaxed);
-        self.standing.late.store(control.ledger.usage.late(), Ordering::Relaxed);
-        self.standing.commit.store(replica.commit(), Ordering::Relaxed);
-        self.standing.last.store(replica.last_index(), Ordering::Relaxed);
+        self.status.duty_until.store(duty_until.as_micros() as u64, Ordering::Relaxed);
+        self.status.unreported_windows.store(control.ledger.usage.closed().len() as u64, Ordering::Relaxed);
+        self.status.late_requests.store(control.ledger.usage.late(), Ordering::Relaxed);
+        self.status.commit_index.store(replica.commit(), Ordering::Relaxed);
+        self.status.last_index.store(replica.last_index(), Ordering::Relaxed);
     }
 
     /// Runs until the instance ends.
@@ -229,10 +229,10 @@
             }
             // A flood of inputs must not keep time from advancing.
             if Moment::now() >= next {
-                self.note_clock();
+                self.check_clock();
                 self.reduce(Event::Tick);
-                self.note_standing();
-                next = Moment::now() + TICK;
+                self.update_status();
+                next = Moment::now() + TICK_INTERVAL;
             }
         }
     }
@@ -253,10 +253,10 @@
     /// Tells traffic of a newer view first and of its proof after it.
     fn publish(&mut self) {
         let view = &self.state.view;
-        if view.revision != self.edition {
-            self.edition = view.revision;
+        if view.revision != self.view_edition {
+            self.view_edition = view.revision;
             let endpoints: Vec<Arc<Registration>> = view.registry.used_in(&self.state.me.hall).cloned().collect();
-            let published = Published {
+            let published = PublishedView {
                 document: view.document.clone(),
                 endpoints: endpoints.clone(),
                 entries: view.directory.values().cloned().collect(),
@@ -269,12 +269,12 @@
         }
         let view = &self.state.view;
         if let Some(at) = view.remote_loads_at().filter(|at| Some(*at) != self.others_at) {
-            let changed = view.load_revision != self.works;
-            (self.works, self.others_at) = (view.load_revision, Some(at));
+            let changed = view.load_revision != self.others_edition;
+            (self.others_edition, self.others_at) = (view.load_revision, Some(at));
             self.batch.push(Notice::Others(changed.then(|| view.remote_loads.clone()), self.epoch + at));
         }
-        if view.limits.edition() != self.limits {
-            self.limits = view.limits.edition();
+        if view.limits.edition() != self.limits_edition {
+            self.limits_edition = view.limits.edition();
             let now = self.epoch.elapsed();
             let reports = view.limits.reports(now).collect();
             self.batch.push(Notice::Limits(reports, self.epoch + now));
@@ -304,7 +304,7 @@
             Effect::Permitted { ticket, answer } => self.batch.push(Notice::Reply(ticket, Reply::Permit(answer))),
             Effect::Log(what) => self.log.write(what),
             Effect::Call { ticket, fence, age, call } => {
-                self.batch.push(Notice::Errand(Box::new(Errand { ticket, fence, age, call })));
+                self.batch.push(Notice::DutyCall(Box::new(DutyTask { ticket, fence, age, call })));
             }
             // Requests are decided on the traffic thread, which also says when a planned stop is complete.
             Effect::Verdict { .. }
@@ -318,9 +318,9 @@
     /// Hands a message to traffic, unless that is so far behind that what waits would take the memory: who needs it asks again.
     fn send(&mut self, to: InstanceId, message: PeerMessage) {
         let weight = message.weight();
-        let backlog = &self.standing.backlog;
-        if weight > LIGHT && backlog.load(Ordering::Relaxed) + weight > BACKLOG_MOST {
-            self.standing.left_out.fetch_add(1, Ordering::Relaxed);
+        let backlog = &self.status.backlog;
+        if weight > SMALL_MESSAGE_ENTRIES && backlog.load(Ordering::Relaxed) + weight > MAX_BACKLOG_ENTRIES {
+            self.status.dropped_messages.fetch_add(1, Ordering::Relaxed);
             return;
         }
         backlog.fetch_add(weight, Ordering::Relaxed);
--- a/crates/rudder-gateway/src/duty.rs
+++ b/crates/rudder-gateway/src/duty.rs
@@ -15,18 +15,18 @@
 use crate::{Dialect, options::Duties, shared::Shared, upstream};
 
 /// A connection to the receiver is given this long to come up.
-const CONNECT: Duration = Duration::from_secs(1);
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// An answer is waited for this long. A call without one may still be carried out; reports can be repeated, and an order
 /// is told from later ones by its fence.
-const ANSWER: Duration = Duration::from_millis(2500);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Characters of an answer that are logged at most.
-const SAID_MOST: usize = 120;
+const MAX_LOGGED_CHARS: usize = 120;
 /// Largest answer that is read.
-const BODY: usize = 64 << 10;
+const MAX_BODY: usize = 64 << 10;
 
 /// A call to make.
 #[derive(Clone, Debug)]
-pub struct Errand {
+pub struct DutyTask {
     /// Identifies it to the reducer.
     pub ticket: u64,
     /// Its fence.
@@ -38,58 +38,58 @@
 }
 
 /// How a call ended, and the beginning of what the receiver said.
-struct Ended {
+struct CallResult {
     outcome: CallOutcome,
-    said: String,
+    answer: String,
 }
 
-impl Ended {
-    fn without_answer(outcome: CallOutcome) -> Ended {
-        Ended { outcome, said: String::new() }
+impl CallResult {
+    fn without_answer(outcome: CallOutcome) -> CallResult {
+        CallResult { outcome, answer: String::new() }
     }
 }
 
 /// Makes a call and tells the reducer how it ended.
-pub async fn run<D: Dialect>(shared: Rc<Shared<D>>, errand: Errand) {
+pub async fn run<D: Dialect>(shared: Rc<Shared<D>>, task: DutyTask) {
     let began = Moment::now();
-    let Ended { outcome, said } = match &shared.options.duties {
-        Some(duties) => send(&shared, duties, &errand).await,
-        None => Ended::without_answer(CallOutcome::Lapsed),
+    let CallResult { outcome, answer } = match &shared.options.duties {
+        Some(duties) => send(&shared, duties, &task).await,
+        None => CallResult::without_answer(CallOutcome::Lapsed),
     };
-    shared.metrics.record_duty(errand.call.kind(), outcome);
+    shared.metrics.record_duty(task.call.kind(), outcome);
     shared.log.write(What::DutyCalled {
-        duty: errand.call.kind().to_owned(),
-        subject: errand.call.subject(),
-        fence: errand.fence,
+        duty: task.call.kind().to_owned(),
+        subject: task.call.subject(),
+        fence: task.fence,
         outcome: format!("{outcome:?}").to_lowercase(),
-        said,
+        said: answer,
         took_ms: began.elapsed().as_millis() as u64,
-        age_ms: errand.age.as_millis() as u64,
+        age_ms: task.age.as_millis() as u64,
     });
-    shared.tell(Event::CallEnded { ticket: errand.ticket, outcome });
+    shared.send_event(Event::CallEnded { ticket: task.ticket, outcome });
 }
 
-async fn send<D: Dialect>(shared: &Shared<D>, duties: &Duties, errand: &Errand) -> Ended {
-    let request = shared.dialect.write_duty(duties, errand.fence, &errand.call);
-    let Ok(mut connection) = upstream::connect(&duties.receiver.to_string(), CONNECT).await else {
-        return Ended::without_answer(CallOutcome::Unknown);
+async fn send<D: Dialect>(shared: &Shared<D>, duties: &Duties, task: &DutyTask) -> CallResult {
+    let request = shared.dialect.write_duty(duties, task.fence, &task.call);
+    let Ok(mut connection) = upstream::connect(&duties.receiver.to_string(), CONNECT_TIMEOUT).await else {
+        return CallResult::without_answer(CallOutcome::Unknown);
     };
     if !shared.holds_duties() {
-        return Ended::without_answer(CallOutcome::Lapsed);
+        return CallResult::without_answer(CallOutcome::Lapsed);
     }
-    let answer = tokio::time::timeout(ANSWER, exchange(&mut connection, request)).await;
+    let answer = tokio::time::timeout(ANSWER_TIMEOUT, exchange(&mut connection, request)).await;
     match answer {
         Ok(Some((status, body))) => {
             let text = String::from_utf8_lossy(&body);
-            let said = format!("{} {}", status.as_u16(), text.chars().take(SAID_MOST).collect::<String>());
-            Ended { outcome: shared.dialect.read_duty(&errand.call, status, &body), said }
+            let summary = format!("{} {}", status.as_u16(), text.chars().take(MAX_LOGGED_CHARS).collect::<String>());
+            CallResult { outcome: shared.dialect.read_duty(&task.call, status, &body), answer: summary }
         }
-        Ok(None) | Err(_) => Ended::without_answer(CallOutcome::Unknown),
+        Ok(None) | Err(_) => CallResult::without_answer(CallOutcome::Unknown),
     }
 }
 
 async fn exchange(connection: &mut upstream::Connection, request: Request<Full<Bytes>>) -> Option<(StatusCode, Bytes)> {
     let (parts, body) = connection.send(request).await.ok()?.into_parts();
-    let body = Limited::new(body, BODY).collect().await.ok()?;
+    let body = Limited::new(body, MAX_BODY).collect().await.ok()?;
     Some((parts.status, body.to_bytes()))
 }
--- a/crates/rudder-gateway/src/head_clock.rs
+++ b/crates/rudder-gateway/src/head_timer.rs
@@ -17,16 +17,16 @@
 
 /// Where a connection stands between heads.
 #[derive(Debug, Default)]
-pub struct HeadClock {
+pub struct HeadTimer {
     began: Cell<Option<Moment>>,
     /// A request is being served: what comes in is its body, or a head that waits its turn.
     serving: Cell<bool>,
     started: Notify,
 }
 
-impl HeadClock {
+impl HeadTimer {
     /// Records that bytes came.
-    fn note_bytes(&self) {
+    fn on_bytes(&self) {
         if !self.serving.get() && self.began.get().is_none() {
             self.began.set(Some(Moment::now()));
             self.started.notify_one();
@@ -34,18 +34,18 @@
     }
 
     /// Records that a head was handed over.
-    pub fn note_head(&self) {
+    pub fn on_head(&self) {
         self.began.set(None);
         self.serving.set(true);
     }
 
     /// Records that a request was answered.
-    pub fn note_answer(&self) {
+    pub fn on_answer(&self) {
         self.serving.set(false);
     }
 
     /// Returns once a head has taken longer than `bound`.
-    pub async fn overrun(&self, bound: Duration) {
+    pub async fn expired(&self, bound: Duration) {
         loop {
             self.started.notified().await;
             let Some(began) = self.began.get() else { continue };
@@ -57,21 +57,21 @@
     }
 }
 
-/// A connection that tells a [`HeadClock`] when bytes come.
+/// A connection that tells a [`HeadTimer`] when bytes come.
 #[derive(Debug)]
-pub struct Clocked<T> {
+pub struct TimedIo<T> {
     inner: T,
-    clock: Rc<HeadClock>,
+    timer: Rc<HeadTimer>,
 }
 
-impl<T> Clocked<T> {
-    /// Watches `inner` for `clock`.
-    pub fn new(inner: T, clock: Rc<HeadClock>) -> Clocked<T> {
-        Clocked { inner, clock }
+impl<T> TimedIo<T> {
+    /// Watches `inner` for `timer`.
+    pub fn new(inner: T, timer: Rc<HeadTimer>) -> TimedIo<T> {
+        TimedIo { inner, timer }
     }
 }
 
-impl<T: Read + Unpin> Read for Clocked<T> {
+impl<T: Read + Unpin> Read for TimedIo<T> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -80,13 +80,13 @@
         let polled = Pin::new(&mut self.inner).poll_read(context, buffer);
         // An end of the connection counts as bytes too; then there is nothing left to bound.
         if matches!(polled, Poll::Ready(Ok(()))) {
-            self.clock.note_bytes();
+            self.timer.on_bytes();
         }
         polled
     }
 }
 
-impl<T: Write + Unpin> Write for Clocked<T> {
+impl<T: Write + Unpin> Write for TimedIo<T> {
     fn poll_write(mut self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<std::io::Result<usize>> {
         Pin::new(&mut self.inner).poll_write(context, bytes)
     }
--- a/crates/rudder-gateway/src/lib.rs
+++ b/crates/rudder-gateway/src/lib.rs
@@ -18,7 +18,7 @@
 pub mod dialect;
 pub mod driver;
 pub mod duty;
-pub mod head_clock;
+pub mod head_timer;
 pub mod health;
 pub mod holdings;
 pub mod lanes;
--- a/crates/rudder-gateway/src/logging.rs
+++ b/crates/rudder-gateway/src/logging.rs
@@ -21,11 +21,11 @@
 use rudder_model::InstanceId;
 
 /// Lines that wait to be written.
-const WAITING: usize = 256;
+const QUEUE_LINES: usize = 256;
 /// Lines are written together this often.
-const GATHER: Duration = Duration::from_millis(50);
+const WRITE_INTERVAL: Duration = Duration::from_millis(50);
 /// Part of the budget that routine lines may use.
-const ROUTINE: f64 = 0.6;
+const ROUTINE_SHARE: f64 = 0.6;
 
 /// Where lines go; every thread has its own with a budget of its own.
 #[derive(Debug)]
@@ -36,7 +36,7 @@
     budget: u32,
     second: Cell<u64>,
     used: Cell<u32>,
-    left_out: Cell<u64>,
+    over_budget: Cell<u64>,
     blocked: Arc<AtomicU64>,
 }
 
@@ -48,7 +48,7 @@
 impl Log {
     /// A log of `budget` lines a second that writes to `writer` on a thread of its own.
     pub fn start(instance: InstanceId, budget: u32, writer: impl Write + Send + 'static) -> Log {
-        let (lines, receiver) = bounded(WAITING);
+        let (lines, receiver) = bounded(QUEUE_LINES);
         thread::spawn(move || run(writer, &receiver));
         Log {
             instance,
@@ -57,7 +57,7 @@
             budget,
             second: Cell::new(0),
             used: Cell::new(0),
-            left_out: Cell::new(0),
+            over_budget: Cell::new(0),
             blocked: Arc::default(),
         }
     }
@@ -72,36 +72,36 @@
             budget: self.budget,
             second: Cell::new(0),
             used: Cell::new(0),
-            left_out: Cell::new(0),
+            over_budget: Cell::new(0),
             blocked: self.blocked.clone(),
         }
     }
 
     /// Lines left out by this thread's budget in this second, and blocked since the last said.
     pub fn dropped(&self) -> (u64, u64) {
-        (self.left_out.get(), self.blocked.load(Ordering::Relaxed))
+        (self.over_budget.get(), self.blocked.load(Ordering::Relaxed))
     }
 
     /// Writes a line, or counts it as left out.
     pub fn write(&self, what: What) {
         let uptime = self.started.elapsed();
-        self.turn_second(uptime);
-        let share = if is_routine(&what) { ROUTINE } else { 1.0 };
+        self.start_second(uptime);
+        let share = if is_routine(&what) { ROUTINE_SHARE } else { 1.0 };
         if f64::from(self.used.get()) >= f64::from(self.budget) * share {
-            self.left_out.set(self.left_out.get() + 1);
+            self.over_budget.set(self.over_budget.get() + 1);
             return;
         }
         self.used.set(self.used.get() + 1);
         self.send(uptime, what);
     }
 
-    fn turn_second(&self, uptime: Duration) {
+    fn start_second(&self, uptime: Duration) {
         if self.second.get() == uptime.as_secs() {
             return;
         }
         self.second.set(uptime.as_secs());
         self.used.set(0);
-        let (budget, blocked) = (self.left_out.take(), self.blocked.swap(0, Ordering::Relaxed));
+        let (budget, blocked) = (self.over_budget.take(), self.blocked.swap(0, Ordering::Relaxed));
         if budget + blocked > 0 {
             self.send(uptime, What::Dropped { budget, blocked });
         }
@@ -119,7 +119,7 @@
 fn run(mut writer: impl Write, lines: &Receiver<Line>) {
     let mut bytes = Vec::new();
     while let Ok(first) = lines.recv() {
-        thread::sleep(GATHER);
+        thread::sleep(WRITE_INTERVAL);
         bytes.clear();
         for line in std::iter::once(first).chain(lines.try_iter()) {
             if serde_json::to_writer(&mut bytes, &line).is_ok() {
--- a/crates/rudder-gateway/src/metrics.rs
+++ b/crates/rudder-gateway/src/metrics.rs
@@ -29,28 +29,28 @@
 
 /// Where the replica of this instance stands; written by the control thread.
 #[derive(Debug, Default)]
-pub struct Standing {
+pub struct ControlStatus {
     /// Its term; 0 without a disk.
     pub term: AtomicU64,
     /// It leads.
-    pub leads: AtomicBool,
+    pub is_leader: AtomicBool,
     /// Until when it holds the duties without a further look, in microseconds since the process started; 0 where it
     /// holds none.
     pub duty_until: AtomicU64,
     /// Closed windows of usage whose report is not acknowledged.
-    pub windows: AtomicU64,
+    pub unreported_windows: AtomicU64,
     /// Requests told after their window was closed, in no report.
-    pub late: AtomicU64,
+    pub late_requests: AtomicU64,
     /// Requests that began here and that the log does not hold yet.
-    pub untold: AtomicU64,
+    pub unreported_requests: AtomicU64,
     /// Index up to which its log is committed.
-    pub commit: AtomicU64,
+    pub commit_index: AtomicU64,
     /// Index of the last entry of its log.
-    pub last: AtomicU64,
+    pub last_index: AtomicU64,
     /// Entries in messages that wait for the traffic thread.
     pub backlog: AtomicUsize,
     /// Messages left out as too much waited.
-    pub left_out: AtomicU64,
+    pub dropped_messages: AtomicU64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
@@ -103,7 +103,7 @@
 
 /// What became of a frame between instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PeerFrame {
+pub enum FrameOutcome {
     /// Handed to its link.
     Sent,
     /// Taken in.
@@ -114,20 +114,20 @@
 
 /// Messages and bytes between instances, by kind of message.
 #[derive(Clone, Debug, Default)]
-pub struct PeerFigures {
+pub struct PeerMetrics {
     frames: Family<PeerLabels, Counter>,
     bytes: Family<PeerLabels, Counter>,
     queued: Gauge,
     peak: Gauge,
 }
 
-impl PeerFigures {
+impl PeerMetrics {
     /// Counts a frame of `size` bytes that carried a message of the kind `message`.
-    pub fn record(&self, frame: PeerFrame, message: &'static str, size: usize) {
+    pub fn record(&self, frame: FrameOutcome, message: &'static str, size: usize) {
         let fate = match frame {
-            PeerFrame::Sent => "sent",
-            PeerFrame::Received => "received",
-            PeerFrame::Dropped => "dropped",
+            FrameOutcome::Sent => "sent",
+            FrameOutcome::Received => "received",
+            FrameOutcome::Dropped => "dropped",
         };
         let label = PeerLabels { fate, message };
         self.frames.get_or_create(&label).inc();
@@ -182,7 +182,7 @@
     total: Family<KindLabel, Histogram>,
     pauses: Histogram,
     /// Messages between instances.
-    pub peers: PeerFigures,
+    pub peers: PeerMetrics,
     state: RefCell<Gauges>,
 }
 
@@ -234,7 +234,7 @@
             first_byte: Family::new_with_constructor(histogram),
             total: Family::new_with_constructor(histogram),
             pauses: histogram(),
-            peers: PeerFigures::default(),
+            peers: PeerMetrics::default(),
             state: RefCell::default(),
         };
         metrics.register();
@@ -445,20 +445,20 @@
     fn set_gauges<D: Dialect>(&self, shared: &Shared<D>) {
         let state = self.state.borrow();
         let number = |count: u64| count.cast_signed();
-        state.open.set(number(shared.open.get()));
+        state.open.set(number(shared.open_requests.get()));
         state.idle.set(number(shared.pool.borrow().len() as u64));
         state.ready.set(i64::from(shared.is_ready()));
         state.version.set(number(shared.current_plan().map_or(0, |plan| plan.version)));
         state.proof.set(shared.proof_age().map_or(-1, |age| number(age.as_millis() as u64)));
-        let standing: &Arc<Standing> = &shared.standing;
-        state.term.set(number(standing.term.load(Ordering::Relaxed)));
-        state.leads.set(i64::from(standing.leads.load(Ordering::Relaxed)));
-        let (last, commit) = (standing.last.load(Ordering::Relaxed), standing.commit.load(Ordering::Relaxed));
+        let status: &Arc<ControlStatus> = &shared.status;
+        state.term.set(number(status.term.load(Ordering::Relaxed)));
+        state.leads.set(i64::from(status.is_leader.load(Ordering::Relaxed)));
+        let (last, commit) = (status.last_index.load(Ordering::Relaxed), status.commit_index.load(Ordering::Relaxed));
         state.lag.set(number(last.saturating_sub(commit)));
         state.holds.set(i64::from(shared.holds_duties()));
-        state.windows.set(number(standing.windows.load(Ordering::Relaxed)));
-        state.late.set(number(standing.late.load(Ordering::Relaxed)));
-        state.left_out.set(number(standing.left_out.load(Ordering::Relaxed)));
+        state.windows.set(number(status.unreported_windows.load(Ordering::Relaxed)));
+        state.late.set(number(status.late_requests.load(Ordering::Relaxed)));
+        state.left_out.set(number(status.dropped_messages.load(Ordering::Relaxed)));
         let view = shared.view.borrow();
         state.instances.set(number(view.entries.len() as u64));
         state.memory.set(resident_bytes().unwrap_or_default());
--- a/crates/rudder-gateway/src/operate.rs
+++ b/crates/rudder-gateway/src/operate.rs
@@ -22,19 +22,19 @@
 /// Path of the figures.
 const METRICS_PATH: &str = "/metrics";
 /// Form of the figures.
-const METRICS_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
+const METRICS_CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 /// Largest configuration document.
-const DOCUMENT: usize = 4 << 20;
+const MAX_DOCUMENT_BYTES: usize = 4 << 20;
 /// Largest heartbeat.
-const HEARTBEAT: usize = 64 << 10;
+const MAX_HEARTBEAT_BYTES: usize = 64 << 10;
 /// Characters of a refused endpoint's name that are logged.
-const NAME_MOST: usize = 64;
+const MAX_LOGGED_NAME: usize = 64;
 /// A reader of the configuration waits this long for proof that it is the newest.
-const READ_WAIT: Duration = Duration::from_millis(850);
+const READ_PROOF_TIMEOUT: Duration = Duration::from_millis(850);
 /// An operator waits this long for the log to decide.
-const DECIDE_WAIT: Duration = Duration::from_millis(2600);
+const DECISION_TIMEOUT: Duration = Duration::from_millis(2600);
 /// An endpoint waits this long for its heartbeat to be taken in.
-const HEARTBEAT_WAIT: Duration = Duration::from_millis(900);
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// Serves the figures of the instance.
 pub fn metrics<D: Dialect>(shared: &Shared<D>, path: &str) -> Response<AnswerBody> {
@@ -42,7 +42,7 @@
         return empty(StatusCode::NOT_FOUND);
     }
     let mut response = Response::new(AnswerBody::whole(shared.metrics.to_text(shared)));
-    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(METRICS_TYPE));
+    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static(METRICS_CONTENT_TYPE));
     response
 }
 
@@ -66,7 +66,7 @@
 }
 
 fn entries<D: Dialect>(shared: &Shared<D>, query: &EntriesQuery) -> Response<AnswerBody> {
-    let addresses = shared.to_entries(query);
+    let addresses = shared.entries_for(query);
     if addresses.is_empty() {
         return empty(StatusCode::SERVICE_UNAVAILABLE);
     }
@@ -74,8 +74,8 @@
 }
 
 async fn replace<D: Dialect>(shared: &Shared<D>, body: Incoming) -> Response<AnswerBody> {
-    let Ok(body) = Limited::new(body, DOCUMENT).collect().await else {
-        return fault(StatusCode::PAYLOAD_TOO_LARGE, "the document is too large or broke off");
+    let Ok(body) = Limited::new(body, MAX_DOCUMENT_BYTES).collect().await else {
+        return error_response(StatusCode::PAYLOAD_TOO_LARGE, "the document is too large or broke off");
     };
     let body = body.to_bytes();
     let plan = match shared.dialect.read_document(&body) {
@@ -84,14 +84,14 @@
             let why = error.to_string();
             let status = StatusCode::BAD_REQUEST;
             shared.log.write(What::DocumentPut { version: 0, status: status.as_u16(), held: 0, why: why.clone() });
-            return fault(status, &why);
+            return error_response(status, &why);
         }
     };
-    let (ticket, reply) = shared.tickets.draw();
+    let (ticket, reply) = shared.tickets.issue();
     let document = Document::new(plan.version, body.to_vec());
     drop(body);
-    shared.tell(Event::PutDocument { ticket, document });
-    let held = match tokio::time::timeout(DECIDE_WAIT, reply).await {
+    shared.send_event(Event::PutDocument { ticket, document });
+    let held = match tokio::time::timeout(DECISION_TIMEOUT, reply).await {
         Ok(Ok(Reply::Documented(held))) => held,
         _ => None,
     };
@@ -105,77 +105,77 @@
     });
     match held {
         Some(_) => json(status, Bytes::from_static(b"{}")),
-        None => fault(status, "the outcome is unknown; send the same again"),
+        None => error_response(status, "the outcome is unknown; send the same again"),
     }
 }
 
 /// Answers with the document only when it is proved the newest as of this request.
 async fn read<D: Dialect>(shared: &Shared<D>, arrived: Moment) -> Response<AnswerBody> {
-    if !shared.prove(arrived, READ_WAIT).await {
-        return fault(StatusCode::SERVICE_UNAVAILABLE, "the newest configuration is not known here");
+    if !shared.wait_for_proof(arrived, READ_PROOF_TIMEOUT).await {
+        return error_response(StatusCode::SERVICE_UNAVAILABLE, "the newest configuration is not known here");
     }
     let document = shared.view.borrow().document.clone();
     match document {
         Some(document) => json(StatusCode::OK, Bytes::copy_from_slice(&document.body)),
-        None => fault(StatusCode::SERVICE_UNAVAILABLE, "there is no configuration yet"),
+        None => error_response(StatusCode::SERVICE_UNAVAILABLE, "there is no configuration yet"),
     }
 }
 
 /// Evacuates a hall, or takes that back.
 async fn evacuate<D: Dialect>(shared: &Shared<D>, hall: HallId, begins: bool) -> Response<AnswerBody> {
     if !shared.places.borrow().knows(&hall) {
-        return fault(StatusCode::NOT_FOUND, "there is no such hall");
+        return error_response(StatusCode::NOT_FOUND, "there is no such hall");
     }
-    let came = Moment::now();
-    let (ticket, reply) = shared.tickets.draw();
-    shared.tell(Event::Evacuate { ticket, hall: hall.clone(), begins });
-    let answer = tokio::time::timeout(DECIDE_WAIT, reply).await;
+    let started = Moment::now();
+    let (ticket, reply) = shared.tickets.issue();
+    shared.send_event(Event::Evacuate { ticket, hall: hall.clone(), begins });
+    let answer = tokio::time::timeout(DECISION_TIMEOUT, reply).await;
     let decided = matches!(answer, Ok(Ok(Reply::Evacuated(true))));
     let status = if decided { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-    let took_ms = came.elapsed().as_millis() as u64;
+    let took_ms = started.elapsed().as_millis() as u64;
     shared.log.write(What::EvacuationOrdered { hall, begins, status: status.as_u16(), took_ms });
     if decided {
         return json(status, Bytes::from_static(b"{}"));
     }
-    fault(status, "the outcome is unknown; send the same again")
+    error_response(status, "the outcome is unknown; send the same again")
 }
 
 async fn heartbeat<D: Dialect>(shared: &Shared<D>, name: &str, body: Incoming) -> Response<AnswerBody> {
-    let Ok(body) = Limited::new(body, HEARTBEAT).collect().await else {
-        return refuse_word(shared, name, &ReportError::TooLarge);
+    let Ok(body) = Limited::new(body, MAX_HEARTBEAT_BYTES).collect().await else {
+        return refuse_report(shared, name, &ReportError::TooLarge);
     };
     let read = shared.dialect.read_heartbeat(name, &body.to_bytes());
-    match read.and_then(|registration| check_word(shared, registration)) {
+    match read.and_then(|registration| check_registration(shared, registration)) {
         Ok(registration) => register(shared, registration).await,
-        Err(fault) => refuse_word(shared, name, &fault),
+        Err(fault) => refuse_report(shared, name, &fault),
     }
 }
 
 /// Checks a heartbeat against what is known: it cannot take a known endpoint to a service that the configuration does not
 /// name, nor leave out a start that the endpoint is known to tell.
-fn check_word<D: Dialect>(shared: &Shared<D>, said: Registration) -> Result<Registration, ReportError> {
+fn check_registration<D: Dialect>(shared: &Shared<D>, reported: Registration) -> Result<Registration, ReportError> {
     let view = shared.view.borrow();
-    let held = view.endpoints.iter().find(|held| held.name() == said.name() && held.phase < Phase::Gone);
-    let Some(held) = held else { return Ok(said) };
-    if held.born.is_some() && said.born.is_none() {
+    let held = view.endpoints.iter().find(|held| held.name() == reported.name() && held.phase < Phase::Gone);
+    let Some(held) = held else { return Ok(reported) };
+    if held.born.is_some() && reported.born.is_none() {
         return Err(ReportError::Born);
     }
     let plan = shared.current_plan();
-    let named = plan.is_none_or(|plan| plan.services.contains_key(&*said.service));
-    if !named && held.service != said.service {
+    let named = plan.is_none_or(|plan| plan.services.contains_key(&*reported.service));
+    if !named && held.service != reported.service {
         return Err(ReportError::Service);
     }
-    Ok(said)
+    Ok(reported)
 }
 
 /// Records that an endpoint ends: the life that it names, or the latest one known where it names none.
 async fn leave<D: Dialect>(shared: &Shared<D>, name: &str, body: Incoming) -> Response<AnswerBody> {
-    let Ok(body) = Limited::new(body, HEARTBEAT).collect().await else {
-        return refuse_word(shared, name, &ReportError::TooLarge);
+    let Ok(body) = Limited::new(body, MAX_HEARTBEAT_BYTES).collect().await else {
+        return refuse_report(shared, name, &ReportError::TooLarge);
     };
     let born = match shared.dialect.read_leave(&body.to_bytes()) {
         Ok(born) => born,
-        Err(fault) => return refuse_word(shared, name, &fault),
+        Err(fault) => return refuse_report(shared, name, &fault),
     };
     let view = shared.view.borrow().clone();
     let is_meant = |held: &&Arc<Registration>| {
@@ -191,23 +191,23 @@
 }
 
 /// Refuses what an endpoint, or another writer in its name, said; what is known of the endpoint stands.
-fn refuse_word<D: Dialect>(shared: &Shared<D>, name: &str, word: &ReportError) -> Response<AnswerBody> {
-    shared.metrics.record_refused_report(word.reason());
-    shared.log.write(What::WordRefused { endpoint: shorten(name), why: word.to_string() });
-    fault(StatusCode::BAD_REQUEST, &word.to_string())
+fn refuse_report<D: Dialect>(shared: &Shared<D>, name: &str, error: &ReportError) -> Response<AnswerBody> {
+    shared.metrics.record_refused_report(error.reason());
+    shared.log.write(What::WordRefused { endpoint: shorten(name), why: error.to_string() });
+    error_response(StatusCode::BAD_REQUEST, &error.to_string())
 }
 
 /// A name as far as it is logged: whoever wrote it chose its length.
 fn shorten(name: &str) -> String {
-    name.chars().take(NAME_MOST).collect()
+    name.chars().take(MAX_LOGGED_NAME).collect()
 }
 
 async fn register<D: Dialect>(shared: &Shared<D>, registration: Registration) -> Response<AnswerBody> {
-    let (ticket, reply) = shared.tickets.draw();
-    shared.tell(Event::Register { ticket, registration });
-    match tokio::time::timeout(HEARTBEAT_WAIT, reply).await {
+    let (ticket, reply) = shared.tickets.issue();
+    shared.send_event(Event::Register { ticket, registration });
+    match tokio::time::timeout(HEARTBEAT_TIMEOUT, reply).await {
         Ok(Ok(Reply::Registered(true))) => json(StatusCode::OK, shared.dialect.write_heartbeat()),
-        _ => fault(StatusCode::SERVICE_UNAVAILABLE, "this instance has lost touch with the others"),
+        _ => error_response(StatusCode::SERVICE_UNAVAILABLE, "this instance has lost touch with the others"),
     }
 }
 
@@ -224,6 +224,6 @@
     response
 }
 
-fn fault(status: StatusCode, why: &str) -> Response<AnswerBody> {
+fn error_response(status: StatusCode, why: &str) -> Response<AnswerBody> {
     json(status, Bytes::from(serde_json::json!({ "error": why }).to_string()))
 }
--- a/crates/rudder-gateway/src/options.rs
+++ b/crates/rudder-gateway/src/options.rs
@@ -32,7 +32,7 @@
 
 impl Listeners {
     /// The listeners that are not for callers' requests, each address once: one address may serve several.
-    pub fn others(&self) -> BTreeSet<SocketAddr> {
+    pub fn control(&self) -> BTreeSet<SocketAddr> {
         [self.ready, self.operators, self.directory].into_iter().flatten().collect()
     }
 }
--- a/crates/rudder-gateway/src/peers/mod.rs
+++ b/crates/rudder-gateway/src/peers/mod.rs
@@ -19,47 +19,47 @@
 };
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-use self::queue::{Queue, Waiting};
+use self::queue::{Queue, QueuedBytes};
 use crate::{
-    metrics::{PeerFigures, PeerFrame},
+    metrics::{FrameOutcome, PeerMetrics},
     upstream,
 };
 
 /// Events that wait for the reducer, from which on messages of other instances are dropped.
-const EVENTS_MOST: usize = 4_096;
+const MAX_QUEUED_EVENTS: usize = 4_096;
 /// Largest frame; a snapshot travels in one.
-const FRAME: usize = 32 << 20;
+const MAX_FRAME_BYTES: usize = 32 << 20;
 /// A link is given this long to come up.
-const CONNECT: Duration = Duration::from_millis(400);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// A frame that is not taken within this time is lost, and the link with it.
-const TAKE: Duration = Duration::from_secs(2);
+const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
 /// A link that had nothing to carry for this long is closed.
-const REST: Duration = Duration::from_secs(20);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// What one frame carries.
 #[derive(Debug, Serialize, Deserialize)]
-struct Parcel {
+struct Envelope {
     from: InstanceId,
     message: PeerMessage,
 }
 
 fn codec() -> LengthDelimitedCodec {
-    LengthDelimitedCodec::builder().max_frame_length(FRAME).new_codec()
+    LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec()
 }
 
 /// Links to other instances; each starts with its first message.
 #[derive(Debug)]
 pub struct Links {
-    me: InstanceId,
-    open: HashMap<InstanceId, Rc<Queue>>,
-    waiting: Rc<Waiting>,
-    figures: PeerFigures,
+    name: InstanceId,
+    queues: HashMap<InstanceId, Rc<Queue>>,
+    queued: Rc<QueuedBytes>,
+    metrics: PeerMetrics,
 }
 
 impl Links {
-    /// No links yet, for the instance `me`.
-    pub fn new(me: InstanceId, figures: PeerFigures) -> Links {
-        Links { me, open: HashMap::new(), waiting: Rc::default(), figures }
+    /// No links yet, for the instance `name`.
+    pub fn new(name: InstanceId, metrics: PeerMetrics) -> Links {
+        Links { name, queues: HashMap::new(), queued: Rc::default(), metrics }
     }
 
     /// Sends a message, or drops it where too much waits already.
@@ -68,69 +68,69 @@
     /// When the message cannot be encoded, which its type rules out.
     pub fn send(&mut self, to: &InstanceId, message: PeerMessage) {
         let kind = message.kind();
-        let parcel = Parcel { from: self.me.clone(), message };
-        let frame = Bytes::from(rmp_serde::to_vec(&parcel).expect("messages hold only plain data"));
+        let envelope = Envelope { from: self.name.clone(), message };
+        let frame = Bytes::from(rmp_serde::to_vec(&envelope).expect("messages hold only plain data"));
         let size = frame.len();
-        let taken = self.queue_to(to).push(frame);
-        let fate = if taken { PeerFrame::Sent } else { PeerFrame::Dropped };
-        self.figures.record(fate, kind, size);
-        self.figures.record_queued(self.waiting.bytes(), self.waiting.most());
+        let queued = self.queue_to(to).push(frame);
+        let outcome = if queued { FrameOutcome::Sent } else { FrameOutcome::Dropped };
+        self.metrics.record(outcome, kind, size);
+        self.metrics.record_queued(self.queued.bytes(), self.queued.peak());
     }
 
     fn queue_to(&mut self, to: &InstanceId) -> Rc<Queue> {
-        if let Some(open) = self.open.get(to).filter(|queue| !queue.is_closed()) {
+        if let Some(open) = self.queues.get(to).filter(|queue| !queue.is_closed()) {
             return open.clone();
         }
         // Links to instances that ended stay behind closed; they go when a new one is needed.
-        self.open.retain(|_, queue| !queue.is_closed());
-        let queue = Rc::new(Queue::new(self.waiting.clone()));
-        tokio::task::spawn_local(keep(to.clone(), queue.clone()));
-        self.open.insert(to.clone(), queue.clone());
+        self.queues.retain(|_, queue| !queue.is_closed());
+        let queue = Rc::new(Queue::new(self.queued.clone()));
+        tokio::task::spawn_local(run_link(to.clone(), queue.clone()));
+        self.queues.insert(to.clone(), queue.clone());
         queue
     }
 }
 
-async fn keep(to: InstanceId, queue: Rc<Queue>) {
-    carry(to, &queue).await;
+async fn run_link(to: InstanceId, queue: Rc<Queue>) {
+    send_frames(to, &queue).await;
     queue.close();
 }
 
 /// Carries frames to one instance until the link breaks or rests.
-async fn carry(to: InstanceId, queue: &Queue) {
-    let Ok(Ok(stream)) = timeout(CONNECT, TcpStream::connect(&*to)).await else { return };
-    if upstream::tune(&stream).is_err() {
+async fn send_frames(to: InstanceId, queue: &Queue) {
+    let Ok(Ok(stream)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(&*to)).await else { return };
+    if upstream::configure_socket(&stream).is_err() {
         return;
     }
     let mut link = Framed::new(stream, codec());
-    while let Ok(frame) = timeout(REST, queue.pop()).await {
-        if !matches!(timeout(TAKE, link.feed(frame)).await, Ok(Ok(()))) {
+    while let Ok(frame) = timeout(IDLE_TIMEOUT, queue.pop()).await {
+        if !matches!(timeout(WRITE_TIMEOUT, link.feed(frame)).await, Ok(Ok(()))) {
             return;
         }
         while let Some(frame) = queue.try_pop() {
-            if !matches!(timeout(TAKE, link.feed(frame)).await, Ok(Ok(()))) {
+            if !matches!(timeout(WRITE_TIMEOUT, link.feed(frame)).await, Ok(Ok(()))) {
                 return;
             }
         }
-        if !matches!(timeout(TAKE, SinkExt::<Bytes>::flush(&mut link)).await, Ok(Ok(()))) {
+        if !matches!(timeout(WRITE_TIMEOUT, SinkExt::<Bytes>::flush(&mut link)).await, Ok(Ok(()))) {
             return;
         }
     }
 }
 
 /// Receives the messages of other instances until the runtime ends.
-pub async fn accept(listener: TcpListener, inputs: Rc<Sender<Event>>, figures: PeerFigures) {
+pub async fn accept(listener: TcpListener, inputs: Rc<Sender<Event>>, metrics: PeerMetrics) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             tokio::time::sleep(Duration::from_millis(20)).await;
             continue;
         };
-        let (inputs, figures) = (inputs.clone(), figures.clone());
-        tokio::task::spawn_local(async move { receive(stream, &inputs, &figures).await });
+        let (inputs, metrics) = (inputs.clone(), metrics.clone());
+        tokio::task::spawn_local(async move { receive(stream, &inputs, &metrics).await });
     }
 }
 
-async fn receive(stream: TcpStream, inputs: &Sender<Event>, figures: &PeerFigures) {
-    if upstream::tune(&stream).is_err() {
+async fn receive(stream: TcpStream, inputs: &Sender<Event>, metrics: &PeerMetrics) {
+    if upstream::configure_socket(&stream).is_err() {
         return;
     }
     let mut link = Framed::new(stream, codec());
@@ -145,16 +145,16 @@
                 return;
             }
         };
-        let Ok(Parcel { from, message }) = rmp_serde::from_slice(&frame) else {
+        let Ok(Envelope { from, message }) = rmp_serde::from_slice(&frame) else {
             spdlog::warn!("a frame of another instance cannot be read");
             return;
         };
         let kind = message.kind();
-        if inputs.len() >= EVENTS_MOST {
-            figures.record(PeerFrame::Dropped, kind, frame.len());
+        if inputs.len() >= MAX_QUEUED_EVENTS {
+            metrics.record(FrameOutcome::Dropped, kind, frame.len());
             continue;
         }
-        figures.record(PeerFrame::Received, kind, frame.len());
+        metrics.record(FrameOutcome::Received, kind, frame.len());
         if inputs.send(Event::Peer { from, message }).is_err() {
             return;
         }
--- a/crates/rudder-gateway/src/peers/queue.rs
+++ b/crates/rudder-gateway/src/peers/queue.rs
@@ -10,38 +10,38 @@
 use tokio::sync::Notify;
 
 /// Bytes that wait for one link at most; a larger frame waits alone. About a second of the slowest link, 10 Mbit/s.
-const LINK_MOST: usize = 1 << 20;
+const MAX_LINK_BYTES: usize = 1 << 20;
 /// Bytes that wait for all links together at most: a part of the 32 MB that control may take of an instance.
-const ALL_MOST: usize = 12 << 20;
+const MAX_TOTAL_BYTES: usize = 12 << 20;
 
 /// A frame of so many bytes may wait alone on its link whatever the others hold: leases and the log go on by such frames.
-const SMALL: usize = 16 << 10;
+const SMALL_FRAME_BYTES: usize = 16 << 10;
 
 /// Bytes that wait for all links.
 #[derive(Debug, Default)]
-pub struct Waiting {
+pub struct QueuedBytes {
     bytes: Cell<usize>,
-    most: Cell<usize>,
+    peak: Cell<usize>,
 }
 
-impl Waiting {
+impl QueuedBytes {
     /// Bytes that wait now.
     pub fn bytes(&self) -> usize {
         self.bytes.get()
     }
 
     /// The most that ever waited.
-    pub fn most(&self) -> usize {
-        self.most.get()
+    pub fn peak(&self) -> usize {
+        self.peak.get()
     }
 
     fn add(&self, bytes: usize) {
         let sum = self.bytes.get() + bytes;
         self.bytes.set(sum);
-        self.most.set(self.most.get().max(sum));
+        self.peak.set(self.peak.get().max(sum));
     }
 
-    fn take_off(&self, bytes: usize) {
+    fn remove(&self, bytes: usize) {
         self.bytes.set(self.bytes.get().saturating_sub(bytes));
     }
 }
@@ -53,27 +53,29 @@
     bytes: Cell<usize>,
     arrived: Notify,
     closed: Cell<bool>,
-    all: Rc<Waiting>,
+    all: Rc<QueuedBytes>,
 }
 
 impl Queue {
     /// An empty queue, whose bytes count among `all`.
-    pub fn new(all: Rc<Waiting>) -> Queue {
+    pub fn new(all: Rc<QueuedBytes>) -> Queue {
         Queue { frames: RefCell::default(), bytes: Cell::new(0), arrived: Notify::new(), closed: Cell::new(false), all }
     }
 
     /// Adds a frame, unless too much waits already. Returns whether it was taken.
     pub fn push(&self, frame: Bytes) -> bool {
         let size = frame.len();
-        let waits = self.bytes.get();
-        let link_fits = waits == 0 || waits + size <= LINK_MOST;
+        let queued = self.bytes.get();
+        let link_fits = queued == 0 || queued + size <= MAX_LINK_BYTES;
         // A leader may have a thousand links: one large frame for each would be far more than all may hold.
-        let all_fit = self.all.bytes() == 0 || self.all.bytes() + size <= ALL_MOST || (waits == 0 && size <= SMALL);
+        let all_fit = self.all.bytes() == 0
+            || self.all.bytes() + size <= MAX_TOTAL_BYTES
+            || (queued == 0 && size <= SMALL_FRAME_BYTES);
         if self.closed.get() || !link_fits || !all_fit {
             return false;
         }
         self.frames.borrow_mut().push_back(frame);
-        self.bytes.set(waits + size);
+        self.bytes.set(queued + size);
         self.all.add(size);
         self.arrived.notify_one();
         true
@@ -93,7 +95,7 @@
     pub fn try_pop(&self) -> Option<Bytes> {
         let frame = self.frames.borrow_mut().pop_front()?;
         self.bytes.set(self.bytes.get() - frame.len());
-        self.all.take_off(frame.len());
+        self.all.remove(frame.len());
         Some(frame)
     }
 
--- a/crates/rudder-gateway/src/scaling.rs
+++ b/crates/rudder-gateway/src/scaling.rs
@@ -9,13 +9,13 @@
 use crate::{Dialect, Service, shared::Shared};
 
 /// All services that the configuration lets be scaled, as they stand now.
-pub fn to_states<D: Dialect>(shared: &Shared<D>) -> Vec<ServiceState> {
+pub fn service_states<D: Dialect>(shared: &Shared<D>) -> Vec<ServiceState> {
     let Some(plan) = shared.current_plan() else { return Vec::new() };
     let scaled = plan.services.values().filter_map(|service| Some((service, service.scaling.as_ref()?)));
-    scaled.map(|(service, bounds)| to_state(shared, service, bounds)).collect()
+    scaled.map(|(service, bounds)| service_state(shared, service, bounds)).collect()
 }
 
-fn to_state<D: Dialect>(shared: &Shared<D>, service: &Service, bounds: &Bounds) -> ServiceState {
+fn service_state<D: Dialect>(shared: &Shared<D>, service: &Service, bounds: &Bounds) -> ServiceState {
     let roster = shared.roster.borrow().clone();
     let endpoints = roster.of(&service.name);
     let balance = shared.balance.borrow();
--- a/crates/rudder-gateway/src/serve.rs
+++ b/crates/rudder-gateway/src/serve.rs
@@ -13,7 +13,7 @@
     Dialect,
     body::AnswerBody,
     call,
-    head_clock::{Clocked, HeadClock},
+    head_timer::{HeadTimer, TimedIo},
     holdings::Cut,
     operate,
     plan::Limits,
@@ -24,17 +24,17 @@
 /// Connections that wait to be accepted.
 const BACKLOG: u32 = 1024;
 /// After a failed accept the next one waits this long; descriptors may have run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// The HTTP library's smallest buffer for a head.
-const HEAD_MIN: usize = 8192;
+const MIN_HEAD_BUFFER: usize = 8192;
 
-/// Which listener a connection came through.
+/// Which listener a connection came via.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Listener {
     /// Callers.
     Callers,
     /// Operators, endpoints, and questions for entries and readiness.
-    Others,
+    Control,
     /// Metrics.
     Metrics,
 }
@@ -51,49 +51,49 @@
 }
 
 /// Accepts connections until the runtime ends.
-pub async fn accept<D: Dialect>(shared: Rc<Shared<D>>, listener: TcpListener, through: Listener) {
+pub async fn accept<D: Dialect>(shared: Rc<Shared<D>>, listener: TcpListener, via: Listener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 let shared = shared.clone();
-                tokio::task::spawn_local(async move { serve(shared, stream, through).await });
+                tokio::task::spawn_local(async move { serve(shared, stream, via).await });
             }
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
 
-async fn serve<D: Dialect>(shared: Rc<Shared<D>>, stream: TcpStream, through: Listener) {
-    let closed = through == Listener::Callers && *shared.stage.borrow() == Stage::Closing;
-    if closed || upstream::tune(&stream).is_err() {
+async fn serve<D: Dialect>(shared: Rc<Shared<D>>, stream: TcpStream, via: Listener) {
+    let closed = via == Listener::Callers && *shared.stage.borrow() == Stage::Closing;
+    if closed || upstream::configure_socket(&stream).is_err() {
         // Closed without having read anything, the caller asks elsewhere; or the caller has gone already.
         return;
     }
     let limits = shared.current_plan().map_or_else(Limits::default, |plan| plan.limits);
-    let clock = Rc::new(HeadClock::default());
+    let timer = Rc::new(HeadTimer::default());
     let cut = Cut::default();
     let service = service_fn(|mut request: Request<Incoming>| {
-        clock.note_head();
+        timer.on_head();
         request.extensions_mut().insert(cut.clone());
-        let (answered, clock) = (answer(shared.clone(), request, through), clock.clone());
+        let (answered, timer) = (answer(shared.clone(), request, via), timer.clone());
         async move {
             let response = answered.await;
-            clock.note_answer();
+            timer.on_answer();
             response
         }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(limits.idle)
-        .max_buf_size(limits.head.max(HEAD_MIN))
+        .max_buf_size(limits.head.max(MIN_HEAD_BUFFER))
         .pipeline_flush(false)
-        .serve_connection(Clocked::new(TokioIo::new(stream), clock.clone()), service);
+        .serve_connection(TimedIo::new(TokioIo::new(stream), timer.clone()), service);
     let mut connection = std::pin::pin!(connection);
     let mut stages = shared.stage.subscribe();
     let closing = stages.wait_for(|stage| *stage == Stage::Closing);
     tokio::select! {
         _ = connection.as_mut() => return,
-        () = clock.overrun(limits.head_time) => return,
+        () = timer.expired(limits.head_time) => return,
         () = cut.notified() => return,
         _ = closing => {}
     }
@@ -108,13 +108,13 @@
 async fn answer<D: Dialect>(
     shared: Rc<Shared<D>>,
     request: Request<Incoming>,
-    through: Listener,
+    via: Listener,
 ) -> Result<Response<AnswerBody>, Infallible> {
     let serving = shared.clone();
-    let mut response = match through {
+    let mut response = match via {
         Listener::Callers => call::handle(shared, request).await,
         Listener::Metrics => operate::metrics(&shared, request.uri().path()),
-        Listener::Others => operate::handle(shared, request, Moment::now()).await,
+        Listener::Control => operate::handle(shared, request, Moment::now()).await,
     };
     if *serving.stage.borrow() != Stage::Serving {
         response.headers_mut().insert(CONNECTION, http::HeaderValue::from_static("close"));
--- a/crates/rudder-gateway/src/shared.rs
+++ b/crates/rudder-gateway/src/shared.rs
@@ -31,7 +31,7 @@
     holdings::Holdings,
     limits::{Limits, Permit},
     logging::Log,
-    metrics::{Metrics, Standing},
+    metrics::{ControlStatus, Metrics},
     places::Places,
     ramp::Ramp,
     reading::Reading,
@@ -41,11 +41,11 @@
 };
 
 /// Instances of a caller's own hall from which on it is told no others: with one alone, its loss would leave none.
-const NEAR_LEAST: usize = 2;
+const MIN_NEAR_INSTANCES: usize = 2;
 
 /// What the reducer's view says to traffic.
 #[derive(Clone, Debug, Default)]
-pub struct Published {
+pub struct PublishedView {
     /// The configuration document.
     pub document: Option<Document>,
     /// Endpoints that registered themselves.
@@ -58,7 +58,7 @@
     pub evacuations: Arc<Evacuations>,
 }
 
-impl Published {
+impl PublishedView {
     /// Live instances that take callers, and so send to endpoints.
     pub fn senders(&self) -> impl Iterator<Item = InstanceId> + '_ {
         self.entries.iter().filter(|listing| listing.address.is_some()).map(|listing| listing.name.clone())
@@ -87,7 +87,7 @@
 
 impl Tickets {
     /// A new ticket and where its reply comes.
-    pub fn draw(&self) -> (u64, oneshot::Receiver<Reply>) {
+    pub fn issue(&self) -> (u64, oneshot::Receiver<Reply>) {
         let ticket = self.count.get() + 1;
         self.count.set(ticket);
         let (sender, receiver) = oneshot::channel();
@@ -109,7 +109,7 @@
     /// No stop was asked for.
     Serving,
     /// Off the lists; each answer closes its connection.
-    Leaving,
+    Draining,
     /// Idle connections are closed too.
     Closing,
 }
@@ -130,7 +130,7 @@
     /// Those who wait for it.
     pub tickets: Tickets,
     /// The latest view.
-    pub view: RefCell<Rc<Published>>,
+    pub view: RefCell<Rc<PublishedView>>,
     /// Its endpoints, by service.
     pub roster: RefCell<Rc<Roster>>,
     /// Those that requests may go to for the moment.
@@ -170,13 +170,13 @@
     /// Requests that began at endpoints since the reducer was last told; kept where their number is reported.
     pub begun: RefCell<Vec<StartedRequest>>,
     /// Requests of callers under way.
-    pub open: Cell<u64>,
+    pub open_requests: Cell<u64>,
     /// The log.
     pub log: Log,
     /// Counters and histograms.
     pub metrics: Metrics,
     /// Where the replica of this instance stands.
-    pub standing: Arc<Standing>,
+    pub status: Arc<ControlStatus>,
 }
 
 impl<D: Dialect> Shared<D> {
@@ -187,7 +187,7 @@
         started: Moment,
         inputs: Sender<Event>,
         log: Log,
-        standing: Arc<Standing>,
+        status: Arc<ControlStatus>,
     ) -> Shared<D> {
         let budget = Budget::new(options.retry_window, options.retry_ratio, options.retry_extra);
         Shared {
@@ -217,21 +217,21 @@
             replaced: watch::Sender::new(()),
             stage: watch::Sender::new(Stage::Serving),
             begun: RefCell::default(),
-            open: Cell::new(0),
+            open_requests: Cell::new(0),
             log,
             metrics: Metrics::default(),
-            standing,
+            status,
         }
     }
 
     /// Hands an event to the reducer; one that has ended needs none.
-    pub fn tell(&self, event: Event) {
+    pub fn send_event(&self, event: Event) {
         let _ = self.inputs.send(event);
     }
 
     /// True where this instance holds the duties that one holds for all, by the lease as it was a moment ago.
     pub fn holds_duties(&self) -> bool {
-        let until = self.standing.duty_until.load(Ordering::Relaxed);
+        let until = self.status.duty_until.load(Ordering::Relaxed);
         (self.started.elapsed().as_micros() as u64) < until
     }
 
@@ -244,10 +244,10 @@
     }
 
     /// Tells the reducer of the requests that began.
-    pub fn tell_begun(&self) {
+    pub fn report_begun(&self) {
         let begun = std::mem::take(&mut *self.begun.borrow_mut());
         if !begun.is_empty() {
-            self.tell(Event::RequestsStarted(begun));
+            self.send_event(Event::RequestsStarted(begun));
         }
     }
 
@@ -268,7 +268,7 @@
 
     /// When a request that lacks proof of the configuration should come back: after the rest of a start, or
     /// after the time that an election takes.
-    pub fn recovers_in(&self) -> Duration {
+    pub fn recovery_time(&self) -> Duration {
         let recover = self.options.recovery_retry_after;
         if self.proof_age().is_some() {
             return recover;
@@ -294,18 +294,18 @@
     }
 
     /// Waits until the plan is proved the newest as of `since`, at most for `bound`.
-    pub async fn prove(&self, since: Moment, bound: Duration) -> bool {
-        self.tell(Event::ProveFreshness);
+    pub async fn wait_for_proof(&self, since: Moment, bound: Duration) -> bool {
+        self.send_event(Event::ProveFreshness);
         let mut proofs = self.proof.subscribe();
         let proved = proofs.wait_for(|proof| proof.is_some_and(|proof| proof >= since));
         matches!(tokio::time::timeout(bound, proved).await, Ok(Ok(_)))
     }
 
     /// Applies a newer view, reading its document where that is another one.
-    pub fn publish(&self, published: Published) {
-        self.take_document(published.document.as_ref());
-        self.take_quarantine(&published.quarantine);
-        self.take_evacuations(&published.evacuations);
+    pub fn publish(&self, published: PublishedView) {
+        self.apply_document(published.document.as_ref());
+        self.apply_quarantine(&published.quarantine);
+        self.apply_evacuations(&published.evacuations);
         self.ramp.borrow_mut().set_senders(published.senders().collect(), Moment::now());
         let roster = Rc::new(Roster::new(published.endpoints.iter().cloned()));
         self.balance.borrow_mut().retain(|endpoint| roster.knows(endpoint));
@@ -315,7 +315,7 @@
         let before = self.roster.replace(roster.clone());
         if !roster.replaced().is_subset(before.replaced()) {
             self.replaced.send_replace(());
-            self.tell_ended(&roster);
+            self.report_ended(&roster);
         }
         *self.view.borrow_mut() = Rc::new(published);
         self.fields.borrow_mut().clear();
@@ -333,13 +333,13 @@
     }
 
     /// Holds the end of endpoints that are known to have ended now against what broke off there.
-    fn tell_ended(&self, roster: &Roster) {
+    fn report_ended(&self, roster: &Roster) {
         for findings in self.contents.borrow_mut().take_ended(roster.replaced()) {
-            self.tell(Event::Findings(findings));
+            self.send_event(Event::Findings(findings));
         }
     }
 
-    fn take_quarantine(&self, quarantine: &Arc<Quarantine>) {
+    fn apply_quarantine(&self, quarantine: &Arc<Quarantine>) {
         let new = self.contents.borrow_mut().publish(quarantine, Moment::now());
         for content in new {
             self.log.write(What::Quarantined { content: to_hex(content), refused: REFUSED_FOR });
@@ -348,7 +348,7 @@
     }
 
     /// Records which halls are evacuated. The endpoints of one that is no more are cold, whatever they last said.
-    fn take_evacuations(&self, evacuations: &Arc<Evacuations>) {
+    fn apply_evacuations(&self, evacuations: &Arc<Evacuations>) {
         let returned = self.places.borrow_mut().set_evacuations(evacuations.clone());
         for hall in returned {
             self.ramp.borrow_mut().note_return(&hall, Moment::now());
@@ -357,8 +357,8 @@
     }
 
     /// Takes the right to send a request to the endpoint chosen: things may have changed since the choice.
-    pub fn try_take_place(&self, choice: &Choice, permit: Option<Permit>, now: Moment) -> bool {
-        let taken = self.may_send(choice, permit, now) && self.try_take_share(choice, now);
+    pub fn try_reserve(&self, choice: &Choice, permit: Option<Permit>, now: Moment) -> bool {
+        let taken = self.accepts_requests(choice, permit, now) && self.try_take_ramp_share(choice, now);
         if !taken {
             self.metrics.record_held_back();
         }
@@ -366,7 +366,7 @@
     }
 
     /// True where the endpoint chosen takes requests, as far as it and its hall are concerned.
-    fn may_send(&self, choice: &Choice, permit: Option<Permit>, now: Moment) -> bool {
+    fn accepts_requests(&self, choice: &Choice, permit: Option<Permit>, now: Moment) -> bool {
         // A limit may have become known, or a permit have grown old, while a connection was waited for.
         let is_permitted = permit.is_some_and(|permit| permit.holds(&choice.endpoint, now));
         if !is_permitted && self.limits.borrow().rate(&choice.endpoint).is_some() {
@@ -383,7 +383,7 @@
     }
 
     /// Takes a part of this instance's share of what the endpoint chosen bears while it warms up.
-    fn try_take_share(&self, choice: &Choice, now: Moment) -> bool {
+    fn try_take_ramp_share(&self, choice: &Choice, now: Moment) -> bool {
         let roster = self.roster.borrow();
         let Some(held) = roster.get(&choice.endpoint) else { return true };
         let warm_up = self.current_plan().and_then(|plan| plan.services.get(&held.service)?.warm_up);
@@ -412,7 +412,7 @@
     }
 
     /// Records the rate limits of endpoints as all instances know them, as of `at`.
-    pub fn take_limits(&self, reports: &[LimitReport], at: Moment) {
+    pub fn apply_limits(&self, reports: &[LimitReport], at: Moment) {
         let mut limits = self.limits.borrow_mut();
         for report in reports {
             limits.record_report(*report, at);
@@ -422,16 +422,16 @@
     }
 
     /// Records the work of the other instances at endpoints as of `at`; `None` where it has not changed.
-    pub fn take_others(&self, others: Option<&[Load]>, at: Moment) {
+    pub fn apply_others(&self, others: Option<&[Load]>, at: Moment) {
         self.others_at.set(Some(at));
         let Some(others) = others else { return };
         self.balance.borrow_mut().set_others(others);
-        self.judge();
+        self.update_suspects();
         self.fields.borrow_mut().clear();
     }
 
     /// Leaves out the endpoints that fail far more than the others of their service.
-    fn judge(&self) {
+    fn update_suspects(&self) {
         if !self.options.policy.guard.suspects {
             return;
         }
@@ -449,7 +449,7 @@
         }
     }
 
-    fn take_document(&self, document: Option<&Document>) {
+    fn apply_document(&self, document: Option<&Document>) {
         let Some(document) = document else { return };
         let held = self.plan.borrow().as_ref().map_or(0, |plan| plan.version);
         if document.version <= held {
@@ -464,7 +464,7 @@
 
     /// Addresses for a caller: those of its hall, those of its region where the hall has fewer than two, or those of the
     /// regions that all routes of its host are bound to; all where there are none of these.
-    pub fn to_entries(&self, query: &EntriesQuery) -> Vec<Arc<str>> {
+    pub fn entries_for(&self, query: &EntriesQuery) -> Vec<Arc<str>> {
         let view = self.view.borrow();
         let places = self.places.borrow();
         let live: Vec<&Listing> = view.entries.iter().filter(|listing| listing.takes_callers()).collect();
@@ -472,7 +472,7 @@
             live.iter().copied().filter(|listing| is_meant(listing)).collect()
         };
         let near = pick(&|listing| query.hall.as_deref() == Some(&*listing.hall));
-        if near.len() >= NEAR_LEAST {
+        if near.len() >= MIN_NEAR_INSTANCES {
             return to_addresses(&near);
         }
         let region = query.hall.as_deref().and_then(|hall| places.region_of(hall)).map(|region| &**region);
--- a/crates/rudder-gateway/src/stream.rs
+++ b/crates/rudder-gateway/src/stream.rs
@@ -114,7 +114,7 @@
     *response.headers_mut() = answer.response.headers().clone();
     call::strip_hop_headers(response.headers_mut());
     let shared = shared.clone();
-    shared.open.set(shared.open.get() + 1);
+    shared.open_requests.set(shared.open_requests.get() + 1);
     tokio::task::spawn_local(async move {
         let mut relay = Relay {
             shared: &shared,
@@ -127,7 +127,7 @@
         };
         relay.run(answer).await;
         drop(relay);
-        shared.open.set(shared.open.get() - 1);
+        shared.open_requests.set(shared.open_requests.get() - 1);
     });
     response
 }
--- a/crates/rudder-gateway/tests/links.rs
+++ b/crates/rudder-gateway/tests/links.rs
@@ -5,10 +5,10 @@
 use bytes::Bytes;
 use rudder_core::{Event, PeerMessage};
 use rudder_gateway::{
-    metrics::PeerFigures,
+    metrics::PeerMetrics,
     peers::{
         self, Links,
-        queue::{Queue, Waiting},
+        queue::{Queue, QueuedBytes},
     },
 };
 use tokio::{
@@ -25,7 +25,7 @@
 
 #[test]
 fn a_link_that_takes_nothing_holds_a_megabyte_at_most() {
-    let all = Rc::new(Waiting::default());
+    let all = Rc::new(QueuedBytes::default());
     let queue = Queue::new(all.clone());
     let taken = (0..100).filter(|_| queue.push(frame(100))).count();
     assert_eq!(taken, 10);
@@ -44,7 +44,7 @@
 
 #[test]
 fn all_links_together_hold_twelve_megabytes_at_most() {
-    let all = Rc::new(Waiting::default());
+    let all = Rc::new(QueuedBytes::default());
     let queues: Vec<Queue> = (0..300).map(|_| Queue::new(all.clone())).collect();
     for _ in 0..10 {
         for queue in &queues {
@@ -74,12 +74,12 @@
     LocalSet::new().block_on(&runtime, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
-        tokio::task::spawn_local(peers::accept(listener, Rc::new(inputs), PeerFigures::default()));
+        tokio::task::spawn_local(peers::accept(listener, Rc::new(inputs), PeerMetrics::default()));
         for bytes in [&[255_u8, 255, 255, 255, 1][..], &[0, 0, 0, 2, 7, 7][..]] {
             let mut stream = TcpStream::connect(address).await.expect("a connection");
             stream.write_all(bytes).await.expect("it takes them");
         }
-        let mut links = Links::new("127.0.0.1:1".into(), PeerFigures::default());
+        let mut links = Links::new("127.0.0.1:1".into(), PeerMetrics::default());
         links.send(&address.to_string().as_str().into(), PeerMessage::Notify);
         tokio::time::sleep(Duration::from_millis(300)).await;
     });
