--- a/crates/rudder-gateway/src/call/admit.rs
+++ b/crates/rudder-gateway/src/call/admit.rs
@@ -1,4 +1,4 @@
-//! Reading a request: its route, its key, its body, within the limits in force.
+//! Admission: reads a request and checks its route, key and body against the configured limits.
 
 use std::{sync::Arc, time::Duration};
 
@@ -22,12 +22,12 @@
     shared::Shared,
 };
 
-/// A caller that named no deadline waits this long at most.
+/// Deadline of a request that names none.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(60);
-/// How long a request waits for proof that its route or key does not exist.
+/// How long a request waits for a proof that its route or key does not exist.
 const DENIAL_PROOF_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// What stands at a place and for a key under one plan.
+/// Finds the route of a request and the organisation that owns its key.
 fn admit(plan: &Plan, head: &CallHead, host: &str, path: &str) -> Result<(Arc<Route>, Option<usize>), Refusal> {
     let Some(route) = plan.find(host, path) else {
         return Err(denied(StatusCode::NOT_FOUND, "no route serves this place"));
@@ -39,7 +39,7 @@
     Ok((route.clone(), holder))
 }
 
-/// Reads a request and finds its route and organisation.
+/// Reads a request and admits it under a plan that is fresh enough to deny it.
 pub(super) async fn read<D: Dialect>(
     shared: &Shared<D>,
     arrived: Moment,
@@ -126,7 +126,7 @@
     }
 }
 
-/// Removes the headers that concern one connection only.
+/// Removes hop-by-hop headers.
 pub fn strip_hop_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
--- a/crates/rudder-gateway/src/call/attempt.rs
+++ b/crates/rudder-gateway/src/call/attempt.rs
@@ -1,4 +1,4 @@
-//! One endpoint: the choice, the connection, the request, the head of the answer.
+//! One attempt: chooses an endpoint, connects, sends the request and reads the head of the answer.
 
 use std::{rc::Rc, time::Duration};
 
@@ -29,9 +29,8 @@
     upstream::{self, Connection},
 };
 
-/// Attempts that may end before anything is written until a request is refused: no connection comes up, or the endpoint's
-/// rate limit is used up. An endpoint that has ended refuses a connection at once, so that many cost next to nothing; a rack
-/// of them must not be taken for all.
+/// Attempts that may fail before anything is sent, by a failed connection or an exhausted rate limit, until the request is
+/// refused. Connections to terminated endpoints fail at once, so the bound is high enough to get past a failed rack.
 pub(super) const MAX_UNSENT_ATTEMPTS: u32 = 12;
 
 /// Records that an endpoint did not run the request.
@@ -63,17 +62,17 @@
     }
 }
 
-/// Keeps a connection for the next request.
+/// Returns a connection to the pool.
 pub fn return_connection<D: Dialect>(
     shared: &Shared<D>,
     endpoint: &EndpointId,
     connection: Connection,
-    keep: Option<Duration>,
+    keep_alive: Option<Duration>,
 ) {
-    shared.pool.borrow_mut().put(endpoint, connection, keep, Moment::now());
+    shared.pool.borrow_mut().put(endpoint, connection, keep_alive, Moment::now());
 }
 
-/// Records how a request ended at an endpoint.
+/// Records the outcome of a request at an endpoint, and logs an ejection that follows from it.
 pub fn record_outcome<D: Dialect>(shared: &Shared<D>, endpoint: &EndpointId, outcome: Outcome) {
     let failed = matches!(outcome, Outcome::Failed | Outcome::Unreachable);
     shared.balance.borrow_mut().note_end(endpoint, failed, Moment::now());
@@ -110,7 +109,7 @@
 /// Sends the request to one endpoint and waits for the head of its answer.
 ///
 /// # Errors
-/// A refusal, where the request must not be sent any more.
+/// Returns a refusal if the request must not be sent any more.
 pub async fn attempt<D: Dialect>(
     shared: &Rc<Shared<D>>,
     call: &Call,
@@ -146,7 +145,7 @@
     Ok(send_over(shared, call, progress, (choice, permit), connection, from).await)
 }
 
-/// Why there is no endpoint to choose.
+/// Why no endpoint can be chosen.
 fn unavailable_reason<D: Dialect>(shared: &Shared<D>, call: &Call) -> &'static str {
     if shared.blocked_for(&call.route).is_some() {
         "its endpoints take no more for now"
@@ -157,6 +156,7 @@
     }
 }
 
+/// Sends the request over a connection and waits for the head of the answer.
 pub(super) async fn send_over<D: Dialect>(
     shared: &Rc<Shared<D>>,
     call: &Call,
@@ -194,7 +194,7 @@
     if let Some(pushback) = head.pushback {
         record_pushback(shared, &choice.endpoint, pushback);
     }
-    // What an answer to another request does not say is no news.
+    // A missing limit in an answer to another request does not lift the limit.
     if head.id_matches || head.limit != LimitNotice::Unlimited {
         record_limit(shared, &choice.endpoint, head.limit, now);
     }
@@ -207,7 +207,7 @@
     Ok(EndpointAnswer { choice, response, head, connection, flight, sent: now, continued: from.from_copy })
 }
 
-/// Records what an endpoint asks of this instance.
+/// Applies the pushback of an endpoint to this instance.
 fn record_pushback<D: Dialect>(shared: &Shared<D>, endpoint: &EndpointId, pushback: Pushback) {
     let (endpoint, now) = (endpoint.clone(), Moment::now());
     match pushback {
@@ -227,7 +227,7 @@
     shared.fields.borrow_mut().clear();
 }
 
-/// Records what an answer to a request sent at `sent` says of its endpoint's rate limit.
+/// Records the rate limit that an endpoint reported in its answer to a request sent at `sent`.
 fn record_limit<D: Dialect>(shared: &Shared<D>, endpoint: &EndpointId, notice: LimitNotice, sent: Moment) {
     let recorded = shared.limits.borrow_mut().record_answer(endpoint, notice, sent, Moment::now());
     let Some(Recorded { changed, report }) = recorded else { return };
@@ -242,7 +242,7 @@
     shared.log.write(What::LimitNamed { endpoint: endpoint.clone(), per_second });
 }
 
-/// Waits for the head of an answer; where the request may be repeated, no longer than its patience.
+/// Waits for the head of an answer. A repeatable request is abandoned after the silence timeout if a retry is available.
 async fn wait_for_head<D: Dialect>(
     shared: &Rc<Shared<D>>,
     call: &Call,
@@ -275,7 +275,7 @@
         Ok(Ok(response)) => Ok(response),
         Ok(Err(why)) => {
             if sent.elapsed() >= expected_wait(shared, choice) {
-                // Plain services begin at once, engines when what is ahead has been read: it has run, its answer is lost.
+                // Plain services start at once, engines after the prompts queued ahead, so the request has started by now.
                 record_begun(shared, call, progress, sent);
             }
             record_outcome(shared, &choice.endpoint, Outcome::Failed);
@@ -315,7 +315,7 @@
     });
 }
 
-/// The endpoint that the request would be sent to now; `None` where there is none that it has not been to.
+/// Chooses an endpoint that has not been tried for the request, if there is one.
 pub(super) fn choose_endpoint<D: Dialect>(shared: &Shared<D>, call: &Call, progress: &Progress) -> Option<Choice> {
     let plan = shared.current_plan()?;
     let roster = shared.roster.borrow().clone();
--- a/crates/rudder-gateway/src/call/checks.rs
+++ b/crates/rudder-gateway/src/call/checks.rs
@@ -1,4 +1,4 @@
-//! Whether a request may be sent: for the first time, and once more.
+//! Whether a request may be sent for the first time, and whether it may be retried.
 
 use std::time::Duration;
 
@@ -13,11 +13,10 @@
 };
 use crate::{Dialect, Route, RouteKind, choose::Choice, places::residency_of, shared::Shared};
 
-/// Endpoints beyond the route's own bound that a request may go to when it did not run.
+/// Attempts beyond the route's bound that are allowed while earlier attempts did not run.
 const EXTRA_ATTEMPTS_NOT_RUN: u32 = 1;
 
-/// Takes the right to send a request once more, within the route's bound and the retry budget. There is none where no other
-/// endpoint may be sent to: what is under way is better waited for, and the budget is others'.
+/// Takes a retry within the route's bound and from the retry budget. Takes none if no other endpoint is eligible.
 pub fn take_retry<D: Dialect>(shared: &Shared<D>, call: &Call, progress: &mut Progress) -> bool {
     let now = Moment::now();
     let bound = call.route.attempts.max(1);
@@ -32,8 +31,8 @@
     shared.budget.borrow_mut().try_take(&service, now, instances)
 }
 
-/// Takes the right to give up an attempt that is silent for another one. A permit may be denied, and then the request would be
-/// refused while its first endpoint may still answer; so the other attempt goes to an endpoint without a rate limit.
+/// Takes a retry for an attempt whose endpoint is silent. The retry is limited to endpoints without a rate limit: a denied
+/// permit would refuse a request that its first endpoint may still answer.
 pub fn take_retry_for_silent<D: Dialect>(shared: &Shared<D>, call: &Call, progress: &mut Progress) -> bool {
     let before = std::mem::replace(&mut progress.unlimited_only, true);
     let taken = take_retry(shared, call, progress);
@@ -41,8 +40,8 @@
     taken
 }
 
-/// Refuses a stream of the lowest rank at once where its engine, the best there is, has so much to read
-/// that it would come late and make the streams behind it late too.
+/// Refuses a stream of the lowest priority if the prompts queued at its best engine would make it miss its target by far,
+/// and delay the streams behind it.
 pub(super) fn check_not_hopeless<D: Dialect>(shared: &Shared<D>, call: &Call, choice: &Choice) -> Result<(), Refusal> {
     let Some(plan) = shared.current_plan() else { return Ok(()) };
     let hopeless = shared.options.policy.guard.hopeless;
@@ -63,12 +62,12 @@
     Err(not_run("its engines have too much to read", wait.saturating_sub(call.route.target / 2)))
 }
 
-/// How long an engine takes to read what is unread there.
+/// Estimates how long an engine takes for the prompts queued ahead.
 pub(super) fn expected_wait<D: Dialect>(shared: &Shared<D>, choice: &Choice) -> Duration {
     shared.reading.borrow().time_for(&choice.service, choice.ahead)
 }
 
-/// The key, the route and the quarantine are looked at again just before a request goes out: it may have waited.
+/// Checks the key, the route and the quarantine again right before a request is sent, as they may have changed meanwhile.
 pub(super) fn check_still_allowed<D: Dialect>(
     shared: &Shared<D>,
     call: &Call,
--- a/crates/rudder-gateway/src/call/copies.rs
+++ b/crates/rudder-gateway/src/call/copies.rs
@@ -1,4 +1,4 @@
-//! Going on from a copy of a request's memory when its endpoint has ended.
+//! Resumes a stream from a copy of its memory (its KV cache) after its endpoint has terminated.
 
 use std::rc::Rc;
 
@@ -14,10 +14,11 @@
 };
 use crate::{Dialect, choose::Choice, health::Outcome, shared::Shared};
 
-/// Goes on with a stream whose endpoint has ended, at the endpoint that keeps a copy of its memory. This counts
-/// as the same run, also on routes whose requests run at most once; so this is called only when the first endpoint has
-/// ended: one that can still be reached may have only broken off, and may be at work still. Before the first whole event there is
-/// no copy to go on from.
+/// Resumes a stream at the endpoint that holds a copy of its memory.
+///
+/// This continues the same run, also on routes whose requests run at most once. Call it only once the first endpoint has
+/// terminated: an endpoint that is still reachable may still be running the request. There is no copy before the first
+/// complete event.
 pub async fn resume_from_copy<D: Dialect>(
     shared: &Rc<Shared<D>>,
     call: &Call,
@@ -32,8 +33,7 @@
     record_outcome(shared, &before.endpoint, Outcome::Unreachable);
     let work = shared.balance.borrow().at(&keeper.endpoint);
     if work.calls >= keeper.slots {
-        // What goes on from a copy is let in first, so that a full engine would preempt another for it, be that one
-        // more urgent.
+        // A full engine admits a resumed request by preempting another one, whatever its priority.
         log_failure(shared, call, progress, &before, "the engine that keeps its copy is full", Ran::Unknown);
         return None;
     }
--- a/crates/rudder-gateway/src/call/ended.rs
+++ b/crates/rudder-gateway/src/call/ended.rs
@@ -1,4 +1,4 @@
-//! Endpoints that end under requests: what is held against their contents, and what is no longer sent for it.
+//! Endpoints that terminate while they serve a request, and the quarantine of the contents involved.
 
 use rudder_clock::Moment;
 use rudder_core::Event;
@@ -8,10 +8,10 @@
 use super::{Call, Progress, Refusal, refusal::no_retry};
 use crate::{Dialect, choose::Choice, shared::Shared, upstream};
 
-/// A request is not sent again once this many endpoints have ended under its content: at the next one it would be refused.
+/// A request is not retried once this many endpoints have terminated while serving its content.
 const MAX_ENDED_ENDPOINTS: usize = 2;
 
-/// Looks whether the endpoint whose connection broke off under `call` has ended, and takes it in if so.
+/// Checks whether the endpoint whose connection broke during `call` has terminated, and records it if so.
 pub async fn record_if_ended<D: Dialect>(
     shared: &Shared<D>,
     call: &Call,
@@ -36,7 +36,7 @@
     true
 }
 
-/// Records that an endpoint answered a request whole.
+/// Records that an endpoint answered a request completely, and reports it if endpoints terminated while serving its content.
 pub fn record_answered<D: Dialect>(shared: &Shared<D>, call: &Call) {
     let findings = shared.contents.borrow_mut().note_answered(call.content, Moment::now());
     if let Some(findings) = findings {
@@ -44,7 +44,7 @@
     }
 }
 
-/// True where so many endpoints have ended under the content of `call` that another one is not risked for it.
+/// Returns true if too many endpoints have terminated while serving the content of `call` to retry it.
 pub(super) fn is_risky<D: Dialect>(shared: &Shared<D>, call: &Call, progress: &Progress) -> bool {
     if !shared.options.policy.guard.quarantine {
         return false;
@@ -65,7 +65,7 @@
     Err(no_retry(progress, "endpoints have ended under it", left))
 }
 
-/// A content as it stands in logs.
+/// Formats a content tag for logs.
 pub fn to_hex(content: ContentTag) -> String {
     format!("{content:016x}")
 }
--- a/crates/rudder-gateway/src/call/mod.rs
+++ b/crates/rudder-gateway/src/call/mod.rs
@@ -1,18 +1,17 @@
-//! One request of a caller, from its head to the end of its answer.
+//! The life of a caller's request, from its head to the end of its answer.
 //!
-//! Everything said about "not run" is decided here, from what was sent: a request counts as not run
-//! only while nothing was written for it, or while each endpoint it was sent to said that it did not
-//! run it. [`Progress`] keeps count for the whole request, and only a count of none leads to a refusal
-//! that promises it.
+//! This module decides whether an answer may state that the request was not run: only if no attempt
+//! wrote anything, or if every endpoint that received the request reported that it did not run it.
+//! [`Progress::possible_runs`] counts the attempts for which this does not hold.
 //!
-//! - [`admit`]: reading a request, its route and its key;
-//! - [`send`]: the loop over endpoints, and the answer;
-//! - [`checks`]: whether it may be sent, for the first time and once more;
-//! - [`attempt`]: one endpoint, from the choice to the head of its answer;
+//! - [`admit`]: reads a request and checks its route and key;
+//! - [`send`]: the retry loop over endpoints;
+//! - [`checks`]: whether a request may be sent or retried;
+//! - [`attempt`]: one attempt, from the choice of an endpoint to the head of its answer;
 //! - [`rate_limit`]: permits for endpoints that have a rate limit;
-//! - [`copies`]: going on elsewhere, from a copy of its memory, with a stream whose endpoint has ended;
-//! - [`ended`]: endpoints that end under requests;
-//! - [`refusal`]: final answers of the instance itself.
+//! - [`copies`]: resumes a stream from a copy of its memory after its endpoint has terminated;
+//! - [`ended`]: endpoints that terminate during a request;
+//! - [`refusal`]: error answers of the instance itself.
 
 pub mod admit;
 pub mod attempt;
@@ -54,43 +53,44 @@
     upstream::Connection,
 };
 
-/// An endpoint may be silent for this many times the target of a route, and at least for this long, before
-/// a request that may be repeated is sent to another.
+/// Silence of an endpoint, as a multiple of the route's target, after which a repeatable request is sent to another one.
 const SILENCE_FACTOR: u32 = 2;
+/// Lower bound of the timeout that follows from [`SILENCE_FACTOR`].
 const MIN_SILENCE_TIMEOUT: Duration = Duration::from_millis(150);
-/// The same for streams, whose prompts may have to be read again.
+/// As [`SILENCE_FACTOR`], for streams: a retry may repeat the prefill.
 const STREAM_SILENCE_FACTOR: u32 = 3;
+/// As [`MIN_SILENCE_TIMEOUT`], for streams.
 const MIN_STREAM_SILENCE_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// A request that a stopping instance no longer takes can go to another at once.
+/// `Retry-After` of a stopping instance: another instance can serve the request at once.
 const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(20);
 
-/// A request that has been read and may be sent.
+/// An admitted request.
 #[derive(Debug)]
 pub struct Call {
-    /// The caller's id of it.
+    /// The id that the caller gave it.
     pub id: String,
     /// When its head was read.
     pub arrived: Moment,
-    /// When it is given up.
+    /// When it is abandoned.
     pub deadline: Moment,
     /// Its route.
     pub route: Arc<Route>,
-    /// The organisation that holds its key.
+    /// The organisation that owns its key.
     pub organisation: Option<Arc<str>>,
-    /// Its rank.
+    /// Its priority; 0 is the highest.
     pub tier: u8,
-    /// Its rank among an engine's requests.
+    /// Its priority within an engine.
     pub engine_rank: u8,
-    /// The engine's work.
+    /// Its prompt, if an engine serves it.
     pub prompt: Option<Prompt>,
-    /// What its caller asks for, in short: the same when it comes again under another id.
+    /// Digest of its content, which a repetition under another id shares.
     pub content: ContentTag,
-    /// Where it may be run and kept.
+    /// The regions in which it may be processed.
     pub residency: Residency,
-    /// Last event that the caller had when it asked.
+    /// Last event that the caller had received when it sent the request.
     pub last_event: Option<u64>,
-    /// Ends its caller's connection.
+    /// Closes the caller's connection.
     pub cut: Cut,
     key: Option<String>,
     host: String,
@@ -100,71 +100,69 @@
     body: Bytes,
 }
 
-/// An attempt that an endpoint answered.
+/// An endpoint's answer, of which only the head has been read.
 #[derive(Debug)]
 pub struct EndpointAnswer {
-    /// Where it went.
+    /// The endpoint that answered.
     pub choice: Choice,
-    /// The answer.
+    /// The response; its body is still to be read.
     pub response: Response<Incoming>,
-    /// What its head says.
+    /// The fields of its head.
     pub head: AnswerHead,
-    /// The connection that it came on.
+    /// The connection that carries it.
     pub connection: Connection,
-    /// Its count at the endpoint.
+    /// Counts the request as in flight at the endpoint.
     pub flight: Flight,
-    /// When it was sent.
+    /// When the request was sent.
     pub sent: Moment,
-    /// It goes on with a run that began elsewhere.
+    /// The endpoint resumed from a copy, so the run counts as begun.
     pub continued: bool,
 }
 
-/// How an attempt failed.
+/// Why an attempt failed.
 #[derive(Debug)]
 pub enum Failure {
     /// Nothing was sent.
     NotSent(&'static str),
-    /// It was sent, and what became of it is unknown.
+    /// The request was sent, and whether it ran is unknown.
     OutcomeUnknown(&'static str),
-    /// It was sent and nothing came for so long that it was given up for another attempt, whose right is
-    /// already taken.
+    /// The endpoint stayed silent past the timeout; a retry has already been taken from the budget.
     Unresponsive,
-    /// Time ran out while it was under way.
+    /// The deadline passed while the request was in flight.
     DeadlineExceeded,
 }
 
-/// From where an endpoint takes a request up.
+/// Where an endpoint resumes a request.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ResumePoint {
-    /// After this event, which the caller has.
+    /// Last event that the caller has received.
     pub last_event: Option<u64>,
-    /// From the copy of the request's memory that the endpoint keeps.
+    /// The endpoint resumes from the copy of the request's memory that it holds.
     pub from_copy: bool,
 }
 
-/// What has become of a request so far.
+/// The attempts made for a request so far.
 #[derive(Debug, Default)]
 pub struct Progress {
-    /// Endpoints that it went to or that could not be reached.
+    /// Endpoints that were tried, including unreachable ones.
     pub tried: Vec<EndpointId>,
-    /// Times that it was sent.
+    /// Attempts that were sent.
     pub sent: u32,
-    /// Of these, the times that it ran or may have run.
+    /// Sent attempts that ran or may have run.
     pub possible_runs: u32,
-    /// Where it was sent last.
+    /// The endpoint of the last attempt.
     pub last_choice: Option<Choice>,
-    /// It has begun to run at an endpoint, and counts as one request of its organisation however often it does again.
+    /// An endpoint has begun to run it. Retries do not count again towards the organisation's usage.
     pub begun: bool,
-    /// Endpoints that ended under it.
+    /// Endpoints that terminated while they served it.
     pub ended_endpoints: usize,
     unsent_attempts: u32,
-    /// It goes to endpoints without a rate limit alone.
+    /// Only endpoints without a rate limit are eligible.
     unlimited_only: bool,
     service: Option<Arc<str>>,
 }
 
-/// Counts a request as open while it lives. One that ends without an answer was dropped by the server
-/// library, because its caller left.
+/// Counts a request as open until it is dropped. The HTTP server drops it unanswered when its caller disconnects.
 struct OpenRequest<D: Dialect> {
     shared: Rc<Shared<D>>,
     id: String,
@@ -191,7 +189,7 @@
     let id = head.id.clone();
     let mut open = OpenRequest { shared: shared.clone(), id: id.clone(), arrived, answered: false };
     let read = match *shared.stage.borrow() {
-        // It came while its connection was being closed.
+        // The request arrived while its connection was being closed.
         Stage::Closing => Err(refusal::not_run("the instance is stopping", STOPPING_RETRY_AFTER)),
         Stage::Serving | Stage::Draining => Ok(()),
     };
@@ -218,15 +216,15 @@
 }
 
 impl Call {
-    /// How long an endpoint may be silent before another one is tried, where the request may be repeated.
+    /// How long an endpoint may stay silent before a repeatable request is sent to another one.
     pub fn silence_timeout(&self) -> Duration {
         let streams = self.route.kind == RouteKind::Stream;
-        let (factor, least) = if streams {
+        let (factor, min) = if streams {
             (STREAM_SILENCE_FACTOR, MIN_STREAM_SILENCE_TIMEOUT)
         } else {
             (SILENCE_FACTOR, MIN_SILENCE_TIMEOUT)
         };
-        (self.route.target * factor).max(least)
+        (self.route.target * factor).max(min)
     }
 
     fn to_request<D: Dialect>(
@@ -258,14 +256,14 @@
     }
 }
 
-/// Counts a request that began to run at an endpoint at `at`, the first time that it does.
+/// Counts a request towards usage the first time that an endpoint begins to run it.
 pub fn record_begun<D: Dialect>(shared: &Shared<D>, call: &Call, progress: &mut Progress, at: Moment) {
     if !std::mem::replace(&mut progress.begun, true) {
         shared.record_begun(call.organisation.as_ref(), at);
     }
 }
 
-/// Path and query alone, as they go to an endpoint.
+/// Reduces a URI to path and query.
 fn to_origin_form(uri: &Uri) -> Uri {
     let path = uri.path_and_query().cloned();
     path.map_or_else(Uri::default, Uri::from)
--- a/crates/rudder-gateway/src/call/rate_limit.rs
+++ b/crates/rudder-gateway/src/call/rate_limit.rs
@@ -15,10 +15,10 @@
     shared::{Reply, Shared},
 };
 
-/// Takes the right to send a request to the endpoint chosen, where that has a rate limit; `None` where it has none.
+/// Takes a permit for a request to the chosen endpoint. Returns `None` if the endpoint has no rate limit.
 ///
 /// # Errors
-/// Why it may not be sent there.
+/// Returns why the request may not be sent there.
 pub(super) async fn take_permit<D: Dialect>(
     shared: &Shared<D>,
     call: &Call,
--- a/crates/rudder-gateway/src/call/refusal.rs
+++ b/crates/rudder-gateway/src/call/refusal.rs
@@ -1,4 +1,4 @@
-//! Final answers of the instance itself.
+//! Error answers of the instance itself.
 
 use std::time::Duration;
 
@@ -9,20 +9,20 @@
 use super::{Call, Failure, Progress};
 use crate::{Dialect, body::AnswerBody, shared::Shared};
 
-/// A final answer of the instance itself.
+/// An error answer of the instance itself.
 #[derive(Clone, Debug)]
 pub struct Refusal {
     /// HTTP status.
     pub status: StatusCode,
-    /// Why, in a few words.
+    /// The reason, as given to the caller and in metrics.
     pub why: &'static str,
     /// Whether the request ran.
     pub ran: Ran,
-    /// When to come back.
+    /// When the caller may retry.
     pub retry: Option<Duration>,
 }
 
-/// The answer to a refused request.
+/// Records a refusal and turns it into a response.
 pub(super) fn refuse<D: Dialect>(shared: &Shared<D>, id: &str, refusal: &Refusal) -> Response<AnswerBody> {
     shared.metrics.record_refusal(refusal.why);
     shared.log.write(What::CallRefused {
@@ -45,26 +45,27 @@
     response
 }
 
-/// A refusal that promises that the request did not run, with a time to come back.
+/// A refusal that states that the request did not run and when to retry it.
 pub(super) fn not_run(why: &'static str, retry: Duration) -> Refusal {
     Refusal { status: StatusCode::SERVICE_UNAVAILABLE, why, ran: Ran::No, retry: Some(retry) }
 }
 
-/// The answer to a request that is not sent any more: not run, with a time to come back, where it was never sent.
+/// The refusal of a request that is not retried: [`not_run`] if it cannot have run.
 pub(super) fn no_retry(progress: &Progress, why: &'static str, retry: Duration) -> Refusal {
     if progress.possible_runs == 0 { not_run(why, retry) } else { outcome_unknown(why) }
 }
 
-/// The answer where a request may have run and is not sent any more.
+/// The refusal of a request that may have run.
 pub(super) fn outcome_unknown(why: &'static str) -> Refusal {
     Refusal { status: StatusCode::BAD_GATEWAY, why, ran: Ran::Unknown, retry: None }
 }
 
+/// The refusal of a request for a fault of its own.
 pub(super) fn denied(status: StatusCode, why: &'static str) -> Refusal {
     Refusal { status, why, ran: Ran::No, retry: None }
 }
 
-/// Statuses that promise that a request did not run.
+/// Returns true for statuses that callers take as a statement that the request did not run.
 pub(super) fn promises_not_run(status: StatusCode) -> bool {
     let promises = [
         StatusCode::TOO_MANY_REQUESTS,
@@ -75,7 +76,7 @@
     promises.contains(&status)
 }
 
-/// The final answer after the last failure.
+/// The refusal after the last failed attempt.
 pub(super) fn final_refusal<D: Dialect>(
     shared: &Shared<D>,
     call: &Call,
@@ -88,7 +89,7 @@
         Failure::DeadlineExceeded => "time ran out",
     };
     if progress.possible_runs == 0 {
-        // Before one of its endpoints takes requests again, it would be turned away once more.
+        // An earlier retry would be refused again, as no endpoint accepts requests before then.
         return not_run(why, shared.blocked_for(&call.route).unwrap_or(shared.options.retry_after));
     }
     let status = match failure {
--- a/crates/rudder-gateway/src/call/send.rs
+++ b/crates/rudder-gateway/src/call/send.rs
@@ -1,4 +1,4 @@
-//! The loop over endpoints, until a request is answered or given up.
+//! The retry loop over endpoints.
 
 use std::rc::Rc;
 
@@ -23,10 +23,10 @@
     stream,
 };
 
-/// Largest answer that is held whole before it is passed on.
+/// Largest answer in bytes that is buffered before it is forwarded.
 pub const MAX_BUFFERED_ANSWER: usize = 8 << 20;
 
-/// Sends a request until it is answered or given up.
+/// Sends a request until it is answered or no retry is left.
 pub(super) async fn send<D: Dialect>(shared: &Rc<Shared<D>>, call: Call) -> Result<Response<AnswerBody>, Refusal> {
     let mut progress = Progress::default();
     let from = ResumePoint { last_event: call.last_event, from_copy: false };
@@ -53,7 +53,7 @@
         if call.route.kind == RouteKind::Stream && answer.response.status().is_success() {
             return Ok(stream::start(shared, call, progress, answer));
         }
-        // A plain service begins at once.
+        // A plain service begins to run a request at once.
         record_begun(shared, &call, &mut progress, answer.sent);
         match relay(shared, &call, &mut progress, answer).await {
             Ok(response) => {
@@ -63,7 +63,7 @@
                     fallback = Some(response);
                     continue;
                 }
-                // An endpoint's 429 or 503 without its word that it did not run would be a false promise.
+                // Without a not-run header, such a status would wrongly state that the request did not run.
                 if promises_not_run(status) {
                     return Err(outcome_unknown("the endpoint failed"));
                 }
@@ -79,7 +79,7 @@
     }
 }
 
-/// True where a failed attempt may be followed by another. Where nothing was sent, the right that it had is not used up.
+/// Takes a retry after a failed attempt. An attempt that sent nothing does not use up a retry.
 pub fn take_retry_after<D: Dialect>(
     shared: &Shared<D>,
     call: &Call,
@@ -94,7 +94,7 @@
     }
 }
 
-/// Reads an answer whole and makes it the caller's.
+/// Reads a whole answer and returns it as the response to the caller.
 async fn relay<D: Dialect>(
     shared: &Shared<D>,
     call: &Call,
