--- a/crates/rudder-gateway/src/shared.rs
+++ b/crates/rudder-gateway/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the tasks of the traffic thread share.
+//! State shared by the tasks of the traffic thread.
 
 use std::{
     cell::{Cell, RefCell},
@@ -40,45 +40,45 @@
     upstream::Pool,
 };
 
-/// Instances of a caller's own hall from which on it is told no others: with one alone, its loss would leave none.
+/// Instances in a caller's hall that are enough for its list. With fewer, the list also holds instances of its region.
 const MIN_NEAR_INSTANCES: usize = 2;
 
-/// What the reducer's view says to traffic.
+/// The part of the reducer's view that traffic uses.
 #[derive(Clone, Debug, Default)]
 pub struct PublishedView {
     /// The configuration document.
     pub document: Option<Document>,
-    /// Endpoints that registered themselves.
+    /// Registered endpoints.
     pub endpoints: Vec<Arc<Registration>>,
     /// Live instances.
     pub entries: Vec<Listing>,
-    /// Contents under which endpoints ended.
+    /// Contents in quarantine.
     pub quarantine: Arc<Quarantine>,
-    /// Halls whose endpoints get nothing.
+    /// Evacuated halls, whose endpoints receive no requests.
     pub evacuations: Arc<Evacuations>,
 }
 
 impl PublishedView {
-    /// Live instances that take callers, and so send to endpoints.
+    /// Live instances that serve callers, and therefore send requests to endpoints.
     pub fn senders(&self) -> impl Iterator<Item = InstanceId> + '_ {
         self.entries.iter().filter(|listing| listing.address.is_some()).map(|listing| listing.name.clone())
     }
 }
 
-/// The answer to something that waits for the reducer.
+/// The reducer's reply to a ticket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// A document was decided on: the version held now, or nothing is known.
+    /// The version of the document in force after a proposal; `None` if the outcome is unknown.
     Documented(Option<u64>),
-    /// A heartbeat was taken in, or was not.
+    /// Whether a heartbeat was accepted.
     Registered(bool),
-    /// The log holds an order of an evacuation, or nothing is known.
+    /// Whether an evacuation order is committed; false if the outcome is unknown.
     Evacuated(bool),
-    /// The holder of an endpoint's rate limit has answered.
+    /// The answer of the holder of an endpoint's rate limit.
     Permit(PermitAnswer),
 }
 
-/// Those who wait for the reducer.
+/// Tasks that wait for a reply of the reducer.
 #[derive(Debug, Default)]
 pub struct Tickets {
     count: Cell<u64>,
@@ -86,7 +86,7 @@
 }
 
 impl Tickets {
-    /// A new ticket and where its reply comes.
+    /// Issues a ticket and returns it with the receiver of its reply.
     pub fn issue(&self) -> (u64, oneshot::Receiver<Reply>) {
         let ticket = self.count.get() + 1;
         self.count.set(ticket);
@@ -95,7 +95,7 @@
         (ticket, receiver)
     }
 
-    /// Passes a reply on; one that nobody waits for any more is dropped.
+    /// Delivers a reply, or drops it if the waiting task is gone.
     pub fn reply(&self, ticket: u64, reply: Reply) {
         if let Some(waiting) = self.waiting.borrow_mut().remove(&ticket) {
             let _ = waiting.send(reply);
@@ -103,12 +103,12 @@
     }
 }
 
-/// Where a planned stop stands.
+/// The stage of a planned stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// No stop was asked for.
+    /// No stop was requested.
     Serving,
-    /// Off the lists; each answer closes its connection.
+    /// The instance is off the lists, and each answer closes its connection.
     Draining,
     /// Idle connections are closed too.
     Closing,
@@ -117,65 +117,65 @@
 /// State of the traffic thread.
 #[derive(Debug)]
 pub struct Shared<D> {
-    /// What callers speak.
+    /// The dialect of callers, operators and endpoints.
     pub dialect: D,
     /// Settings.
     pub options: Options,
-    /// When the process started; the reducer's time counts from it.
+    /// When the process started: the zero of the reducer's time.
     pub started: Moment,
     /// This instance's name.
     pub name: InstanceId,
-    /// Events for the reducer.
+    /// The reducer's queue of events.
     pub inputs: Sender<Event>,
-    /// Those who wait for it.
+    /// Tasks that wait for a reply of the reducer.
     pub tickets: Tickets,
-    /// The latest view.
+    /// The latest view of the reducer.
     pub view: RefCell<Rc<PublishedView>>,
-    /// Its endpoints, by service.
+    /// Endpoints by service.
     pub roster: RefCell<Rc<Roster>>,
-    /// Those that requests may go to for the moment.
+    /// Endpoints that are eligible now, by service.
     pub fields: RefCell<Fields>,
-    /// The configuration document, read.
+    /// The parsed configuration document.
     pub plan: RefCell<Option<Rc<Plan>>>,
-    /// When the question was sent whose answer proves the plan the newest.
+    /// The time as of which the plan is proved the newest.
     pub proof: watch::Sender<Option<Moment>>,
-    /// When the others' work was as it is known here.
+    /// The time of the last known load of the other instances.
     pub others_at: Cell<Option<Moment>>,
-    /// Work under way at endpoints.
+    /// Requests in flight at endpoints.
     pub balance: Rc<RefCell<Balance>>,
-    /// Outcomes at endpoints.
+    /// Recent outcomes at endpoints, and ejections.
     pub health: RefCell<Health>,
-    /// Endpoints that want nothing.
+    /// Endpoints that have asked for a backoff or are leaving.
     pub backoff: RefCell<Backoff>,
     /// Rate limits of endpoints.
     pub limits: RefCell<Limits>,
-    /// What became of contents at endpoints.
+    /// Outcomes by content, and the quarantine.
     pub contents: RefCell<Contents>,
-    /// How fast engines read.
+    /// Prefill speed of engines.
     pub reading: RefCell<Reading>,
-    /// Where requests may go.
+    /// Regions and evacuations of halls.
     pub places: RefCell<Places>,
     /// Endpoints that are warming up.
     pub ramp: RefCell<Ramp>,
     /// Bytes held for callers and endpoints.
     pub holdings: Arc<Holdings>,
-    /// Requests sent again.
+    /// The retry budget.
     pub budget: RefCell<Budget>,
     /// Idle connections to endpoints.
     pub pool: RefCell<Pool>,
-    /// Changes when a life of an endpoint has been replaced.
+    /// Notifies of endpoints that a later life has replaced.
     pub replaced: watch::Sender<()>,
-    /// Where a planned stop stands.
+    /// The stage of a planned stop.
     pub stage: watch::Sender<Stage>,
-    /// Requests that began at endpoints since the reducer was last told; kept where their number is reported.
+    /// Requests begun at endpoints and not yet reported to the reducer; recorded only if usage is reported.
     pub begun: RefCell<Vec<StartedRequest>>,
-    /// Requests of callers under way.
+    /// Open requests of callers.
     pub open_requests: Cell<u64>,
     /// The log.
     pub log: Log,
     /// Counters and histograms.
     pub metrics: Metrics,
-    /// Where the replica of this instance stands.
+    /// Status of the control thread.
     pub status: Arc<ControlStatus>,
 }
 
@@ -224,18 +224,18 @@
         }
     }
 
-    /// Hands an event to the reducer; one that has ended needs none.
+    /// Sends an event to the reducer. It is dropped if the control thread has ended.
     pub fn send_event(&self, event: Event) {
         let _ = self.inputs.send(event);
     }
 
-    /// True where this instance holds the duties that one holds for all, by the lease as it was a moment ago.
+    /// Returns true if this instance holds the duties, by its last known lease.
     pub fn holds_duties(&self) -> bool {
         let until = self.status.duty_until.load(Ordering::Relaxed);
         (self.started.elapsed().as_micros() as u64) < until
     }
 
-    /// Counts a request that began to run at an endpoint at `at`, for the organisation that holds its key.
+    /// Counts a request that began to run at an endpoint towards the usage of the organisation that owns its key.
     pub fn record_begun(&self, organisation: Option<&Arc<str>>, at: Moment) {
         let wanted = self.options.duties.as_ref().is_some_and(|duties| duties.core.usage.is_some());
         let Some(organisation) = organisation.filter(|_| wanted) else { return };
@@ -243,7 +243,7 @@
         self.begun.borrow_mut().push(StartedRequest { org: organisation.clone(), at });
     }
 
-    /// Tells the reducer of the requests that began.
+    /// Reports the requests that began to the reducer.
     pub fn report_begun(&self) {
         let begun = std::mem::take(&mut *self.begun.borrow_mut());
         if !begun.is_empty() {
@@ -251,23 +251,24 @@
         }
     }
 
-    /// Age of the proof that the plan is the newest; `None` where there never was one.
+    /// Age of the proof that the plan is the newest, if there has been one.
     pub fn proof_age(&self) -> Option<Duration> {
         self.proof.borrow().map(Moment::elapsed)
     }
 
-    /// How old the others' work is that is known here: it takes about as long to be told by them as it took to come here.
+    /// Estimated age of the known load of the other instances: their reports take about as long to reach the leader as the
+    /// leader's answer takes to arrive here.
     pub fn work_age(&self) -> Duration {
         self.others_age() * 2
     }
 
-    /// How long ago the others' work was as it is known here.
+    /// Time since the leader's state of the other instances' load.
     pub fn others_age(&self) -> Duration {
         self.others_at.get().map(Moment::elapsed).unwrap_or_default()
     }
 
-    /// When a request that lacks proof of the configuration should come back: after the rest of a start, or
-    /// after the time that an election takes.
+    /// When to retry a request that was refused for lack of a proof: after the rest of the startup time, or after the time
+    /// of an election.
     pub fn recovery_time(&self) -> Duration {
         let recover = self.options.recovery_retry_after;
         if self.proof_age().is_some() {
@@ -277,12 +278,12 @@
         rest.max(recover / 2)
     }
 
-    /// True where the plan is proved at most `bound` old.
+    /// Returns true if the proof of the plan is younger than `bound`.
     pub fn is_fresh(&self, bound: Duration) -> bool {
         self.proof_age().is_some_and(|age| age < bound)
     }
 
-    /// True while this instance takes callers.
+    /// Returns true while this instance serves callers.
     pub fn is_ready(&self) -> bool {
         let serving = *self.stage.borrow() == Stage::Serving;
         serving && self.current_plan().is_some() && self.is_fresh(self.options.max_proof_age)
@@ -293,7 +294,7 @@
         self.plan.borrow().clone()
     }
 
-    /// Waits until the plan is proved the newest as of `since`, at most for `bound`.
+    /// Waits up to `bound` for a proof that the plan is the newest as of `since`.
     pub async fn wait_for_proof(&self, since: Moment, bound: Duration) -> bool {
         self.send_event(Event::ProveFreshness);
         let mut proofs = self.proof.subscribe();
@@ -301,7 +302,7 @@
         matches!(tokio::time::timeout(bound, proved).await, Ok(Ok(_)))
     }
 
-    /// Applies a newer view, reading its document where that is another one.
+    /// Applies a newer view, and parses its document if the version is newer.
     pub fn publish(&self, published: PublishedView) {
         self.apply_document(published.document.as_ref());
         self.apply_quarantine(&published.quarantine);
@@ -321,18 +322,18 @@
         self.fields.borrow_mut().clear();
     }
 
-    /// Returns when a later life of the same name has replaced `endpoint`: nothing runs there any more.
+    /// Waits until a later life of the same name has replaced `endpoint`, so that its requests no longer run.
     pub async fn wait_replaced(&self, endpoint: &EndpointId) {
         let mut news = self.replaced.subscribe();
         while !self.is_replaced(endpoint) && news.changed().await.is_ok() {}
     }
 
-    /// True where a later life of the same name has replaced `endpoint`.
+    /// Returns true if a later life of the same name has replaced `endpoint`.
     pub fn is_replaced(&self, endpoint: &EndpointId) -> bool {
         self.roster.borrow().replaced().contains(endpoint)
     }
 
-    /// Holds the end of endpoints that are known to have ended now against what broke off there.
+    /// Reports the contents whose connections broke at endpoints that are now known to have terminated.
     fn report_ended(&self, roster: &Roster) {
         for findings in self.contents.borrow_mut().take_ended(roster.replaced()) {
             self.send_event(Event::Findings(findings));
@@ -347,7 +348,7 @@
         self.metrics.set_quarantined(self.contents.borrow().refused_count());
     }
 
-    /// Records which halls are evacuated. The endpoints of one that is no more are cold, whatever they last said.
+    /// Records which halls are evacuated. The endpoints of a hall that has returned count as cold, whatever they reported.
     fn apply_evacuations(&self, evacuations: &Arc<Evacuations>) {
         let returned = self.places.borrow_mut().set_evacuations(evacuations.clone());
         for hall in returned {
@@ -356,7 +357,7 @@
         self.metrics.set_evacuated(self.places.borrow().evacuated());
     }
 
-    /// Takes the right to send a request to the endpoint chosen: things may have changed since the choice.
+    /// Checks again that the chosen endpoint accepts a request, and counts it towards the endpoint's warm-up share.
     pub fn try_reserve(&self, choice: &Choice, permit: Option<Permit>, now: Moment) -> bool {
         let taken = self.accepts_requests(choice, permit, now) && self.try_take_ramp_share(choice, now);
         if !taken {
@@ -365,9 +366,9 @@
         taken
     }
 
-    /// True where the endpoint chosen takes requests, as far as it and its hall are concerned.
+    /// Returns true if the chosen endpoint and its hall accept requests.
     fn accepts_requests(&self, choice: &Choice, permit: Option<Permit>, now: Moment) -> bool {
-        // A limit may have become known, or a permit have grown old, while a connection was waited for.
+        // While the connection was opened, a limit may have been reported or the permit may have expired.
         let is_permitted = permit.is_some_and(|permit| permit.holds(&choice.endpoint, now));
         if !is_permitted && self.limits.borrow().rate(&choice.endpoint).is_some() {
             return false;
@@ -376,13 +377,13 @@
             return false;
         }
         let roster = self.roster.borrow();
-        // One that is no longer known has ended; the attempt shows it.
+        // An endpoint that is no longer known has terminated, which the attempt will show.
         let Some(held) = roster.get(&choice.endpoint) else { return true };
-        // The choice may be as old as the stream that goes on at the endpoint that keeps its copy.
+        // The holder of a stream's copy was chosen when the stream started, so its phase may have changed since.
         held.phase <= Phase::Silent && self.places.borrow().is_open(&held.hall)
     }
 
-    /// Takes a part of this instance's share of what the endpoint chosen bears while it warms up.
+    /// Counts a request towards this instance's share of the chosen endpoint's capacity during warm-up.
     fn try_take_ramp_share(&self, choice: &Choice, now: Moment) -> bool {
         let roster = self.roster.borrow();
         let Some(held) = roster.get(&choice.endpoint) else { return true };
@@ -392,8 +393,8 @@
         ramp.try_take(&held.endpoint, allowed, now)
     }
 
-    /// How long this instance may send to none of the endpoints that serve `route`, as they want nothing or their rate limits
-    /// are used up; `None` while it may send to one of them.
+    /// How long all endpoints that serve `route` are blocked by backoffs or exhausted rate limits; `None` if one accepts
+    /// requests.
     pub fn blocked_for(&self, route: &Route) -> Option<Duration> {
         let now = Moment::now();
         let (roster, backoff, places) = (self.roster.borrow(), self.backoff.borrow(), self.places.borrow());
@@ -411,7 +412,7 @@
         soonest.map(|until| until.saturating_duration_since(now))
     }
 
-    /// Records the rate limits of endpoints as all instances know them, as of `at`.
+    /// Records the rate limits of endpoints that all instances share, as of `at`.
     pub fn apply_limits(&self, reports: &[LimitReport], at: Moment) {
         let mut limits = self.limits.borrow_mut();
         for report in reports {
@@ -421,7 +422,7 @@
         self.fields.borrow_mut().clear();
     }
 
-    /// Records the work of the other instances at endpoints as of `at`; `None` where it has not changed.
+    /// Records the load of the other instances at endpoints as of `at`; `None` if it has not changed.
     pub fn apply_others(&self, others: Option<&[Load]>, at: Moment) {
         self.others_at.set(Some(at));
         let Some(others) = others else { return };
@@ -430,7 +431,7 @@
         self.fields.borrow_mut().clear();
     }
 
-    /// Leaves out the endpoints that fail far more than the others of their service.
+    /// Ejects the endpoints that fail far more often than the others of their service.
     fn update_suspects(&self) {
         if !self.options.policy.guard.suspects {
             return;
@@ -457,13 +458,13 @@
         }
         match self.dialect.read_document(&document.body) {
             Ok(plan) => *self.plan.borrow_mut() = Some(Rc::new(plan)),
-            // It was read before it was proposed, by an instance that may be of another version.
-            Err(error) => spdlog::error!("document {} cannot be read here: {error}", document.version),
+            // The instance that proposed it could parse it, but may run another version.
+            Err(error) => spdlog::error!("cannot parse configuration document {}: {error}", document.version),
         }
     }
 
-    /// Addresses for a caller: those of its hall, those of its region where the hall has fewer than two, or those of the
-    /// regions that all routes of its host are bound to; all where there are none of these.
+    /// Addresses of instances for a caller: those in its hall if there are at least [`MIN_NEAR_INSTANCES`], else those in
+    /// its region, else those in the regions that all routes of its host are bound to, else those in its hall, else all.
     pub fn entries_for(&self, query: &EntriesQuery) -> Vec<Arc<str>> {
         let view = self.view.borrow();
         let places = self.places.borrow();
