--- a/crates/rudder-gateway/src/upstream.rs
+++ b/crates/rudder-gateway/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints: one request at a time on each, reused only while nothing is left on it.
+//! HTTP/1 connections to endpoints. Each carries one request at a time and is reused once the answer has been read whole.
 
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
@@ -12,23 +12,22 @@
 use socket2::{SockRef, TcpKeepalive};
 use tokio::{net::TcpStream, task::JoinHandle};
 
-/// A connection to an endpoint is given this long to come up. One whose first packet is lost is tried again by
-/// the system after a second only, so another endpoint is the better try.
+/// Timeout for opening a connection. TCP resends a lost SYN only after a second, so another endpoint is faster.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
-/// Bytes read from an endpoint before they are passed on, at most; the library would take 400 KB for each connection.
+/// Largest read buffer of a connection in bytes; hyper's default is 400 KB.
 const MAX_READ_BUFFER: usize = 64 << 10;
-/// A question whether an endpoint has ended is answered within this time, or left open.
+/// Timeout of the probe whether an endpoint refuses connections.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(100);
-/// An idle connection whose endpoint told no time is used again within this.
+/// How long a connection may be idle before reuse if its endpoint names no keep-alive time.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
-/// A connection is not used again this shortly before its endpoint closes it.
+/// A connection is not reused this close to the end of its keep-alive time.
 const CLOSE_MARGIN: Duration = Duration::from_millis(1200);
-/// A request that runs at most once goes out only on a connection that has rested less than this.
+/// Longest idle time of a connection that is reused for a request that must run at most once.
 const MAX_IDLE_BEFORE_ONCE: Duration = Duration::from_millis(800);
-/// Data unacknowledged for this long, or this many probes unanswered, end a connection.
+/// A connection ends when sent data stays unacknowledged for this long.
 const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// Ends a connection's task when dropped, and with it the request under way.
+/// Aborts a connection's task when dropped, and with it the request in flight.
 #[derive(Debug)]
 struct AbortOnDrop(JoinHandle<()>);
 
@@ -38,12 +37,12 @@
     }
 }
 
-/// One connection.
+/// A connection to an endpoint.
 #[derive(Debug)]
 pub struct Connection {
     sender: http1::SendRequest<Full<Bytes>>,
     _guard: AbortOnDrop,
-    /// Requests that it has carried.
+    /// Number of requests sent over it.
     pub carried: u32,
 }
 
@@ -61,7 +60,7 @@
 }
 
 impl Pool {
-    /// Takes an idle connection that can be used; the freshest first.
+    /// Takes the most recently used connection that is still usable. `once` is set for a request that must run at most once.
     pub fn take(&mut self, endpoint: &EndpointId, once: bool, now: Moment) -> Option<Connection> {
         let idle = self.idle.get_mut(endpoint)?;
         while let Some(last) = idle.pop() {
@@ -76,7 +75,7 @@
         None
     }
 
-    /// Keeps a connection whose answer has been read whole.
+    /// Adds a connection whose answer has been read whole.
     pub fn put(&mut self, endpoint: &EndpointId, connection: Connection, keep_alive: Option<Duration>, now: Moment) {
         if connection.sender.is_closed() || keep_alive.is_some_and(|keep_alive| keep_alive <= CLOSE_MARGIN) {
             return;
@@ -85,7 +84,7 @@
         idle.push(IdleConnection { connection, since: now, keep_alive });
     }
 
-    /// Closes what has rested too long.
+    /// Closes the connections that have been idle too long.
     pub fn evict_expired(&mut self, now: Moment) {
         self.idle.retain(|_, idle| {
             idle.retain(|held| {
@@ -97,31 +96,31 @@
         });
     }
 
-    /// Idle connections.
+    /// Number of idle connections.
     pub fn len(&self) -> usize {
         self.idle.values().map(Vec::len).sum()
     }
 
-    /// True where no connection is idle.
+    /// Returns true if no connection is idle.
     pub fn is_empty(&self) -> bool {
         self.idle.is_empty()
     }
 }
 
-/// Why no connection came up; nothing was sent.
+/// A connection could not be opened; nothing was sent.
 #[derive(Debug, thiserror::Error)]
 #[error("connect to {address}: {source}")]
 pub struct ConnectError {
-    /// Where to.
+    /// The address.
     pub address: String,
-    /// What the system reported.
+    /// The underlying error.
     pub source: std::io::Error,
 }
 
 /// Opens a connection.
 ///
 /// # Errors
-/// When it does not come up within `bound`.
+/// Fails if the connection is not open within `bound`.
 pub async fn connect(address: &str, bound: Duration) -> Result<Connection, ConnectError> {
     let fault = |source: std::io::Error| ConnectError { address: address.to_owned(), source };
     let target: SocketAddr =
@@ -132,24 +131,24 @@
     let handshake = http1::Builder::new().max_buf_size(MAX_READ_BUFFER).handshake(TokioIo::new(stream)).await;
     let (sender, connection) = handshake.map_err(|error| fault(std::io::Error::other(error)))?;
     let task = tokio::task::spawn_local(async move {
-        // Its end is seen by the request that it carries.
+        // An error reaches the request in flight through the sender.
         let _ = connection.await;
     });
     Ok(Connection { sender, _guard: AbortOnDrop(task), carried: 0 })
 }
 
-/// True where nobody listens at `address` any more: connections are refused. Silence proves nothing, a packet may
-/// have been lost.
+/// Returns true if connections to `address` are refused, so that no process listens there. A timeout proves nothing, as a
+/// packet may have been lost.
 pub async fn refuses_connections(address: &str) -> bool {
     let Ok(target) = address.parse::<SocketAddr>() else { return false };
     let probe = tokio::time::timeout(PROBE_TIMEOUT, TcpStream::connect(target)).await;
     matches!(probe, Ok(Err(error)) if error.kind() == std::io::ErrorKind::ConnectionRefused)
 }
 
-/// No delay for small writes, and an end to connections whose other side has gone silent.
+/// Disables Nagle's algorithm and enables the detection of dead peers.
 ///
 /// # Errors
-/// As the system reports.
+/// Fails if a socket option cannot be set.
 pub fn configure_socket(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
@@ -162,7 +161,7 @@
     /// Sends a request and waits for the head of its answer.
     ///
     /// # Errors
-    /// When the connection ends first; whether the request ran is then unknown.
+    /// Fails if the connection ends first; whether the request ran is then unknown.
     pub async fn send(&mut self, request: Request<Full<Bytes>>) -> hyper::Result<Response<Incoming>> {
         self.carried += 1;
         self.sender.send_request(request).await
