--- a/crates/rudder-gateway/src/body.rs
+++ b/crates/rudder-gateway/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers to callers.
+//! Response bodies for callers.
 
 use std::{
     pin::Pin,
@@ -9,22 +9,22 @@
 use hyper::body::{Body, Frame, SizeHint};
 use tokio::sync::mpsc;
 
-/// The answer broke off: its connection ends so that it cannot look complete.
+/// The answer broke off. The caller's connection is closed, so that the answer does not look complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the answer broke off")]
 pub struct Interrupted;
 
-/// The body of an answer.
+/// The body of a response.
 #[derive(Debug)]
 pub enum AnswerBody {
-    /// All of it, once.
+    /// The whole body; `None` once it has been read.
     Whole(Option<Bytes>),
-    /// Parts as they come.
+    /// Parts of a stream.
     Parts(mpsc::Receiver<Result<Bytes, Interrupted>>),
 }
 
 impl AnswerBody {
-    /// A whole body.
+    /// Creates a whole body.
     pub fn whole(bytes: impl Into<Bytes>) -> AnswerBody {
         let bytes = bytes.into();
         AnswerBody::Whole((!bytes.is_empty()).then_some(bytes))
--- a/crates/rudder-gateway/src/stream.rs
+++ b/crates/rudder-gateway/src/stream.rs
@@ -1,9 +1,9 @@
-//! Streams of events: passed on as they come, taken up at another endpoint where that is allowed.
+//! Forwards streams of server-sent events, and resumes them at another endpoint where the route allows it.
 //!
-//! Of a stream that can be resumed only whole events are passed on, so that the next endpoint goes on
-//! after the last whole one. Long quick streams have their memory copied to another endpoint while they run,
-//! which goes on when the first one ends, also where the route allows one run: it is the same run. A stream that
-//! breaks off and cannot be resumed ends its caller's connection: it must not look complete.
+//! Only complete events of a resumable stream are forwarded, so that the next endpoint can resume after the last one. Long,
+//! fast streams have their memory copied to another endpoint while they run. That endpoint resumes the stream when the first
+//! one terminates, also on routes that allow one run, since it continues the same run. A stream that breaks off and cannot be
+//! resumed closes its caller's connection, so that it does not look complete.
 
 use std::rc::Rc;
 
@@ -26,23 +26,23 @@
     shared::Shared,
 };
 
-/// Parts of a stream that wait for a slow caller.
+/// Parts of a stream that may be queued for a slow caller.
 const MAX_QUEUED_PARTS: usize = 8;
-/// What ends an event.
+/// Terminator of an event.
 const EVENT_END: &[u8] = b"\n\n";
 
-/// Splits what comes into whole events and counts them.
+/// Splits a byte stream into complete events and counts them.
 #[derive(Debug, Default)]
 pub struct Events {
     pending: BytesMut,
-    /// Whole events so far, over all endpoints.
+    /// Complete events so far, over all endpoints.
     pub count: u64,
-    /// Id of the last whole event.
+    /// Id of the last complete event that has one.
     pub last: Option<u64>,
 }
 
 impl Events {
-    /// Adds bytes and returns the whole events that they complete.
+    /// Appends bytes and returns the events that they complete.
     pub fn push(&mut self, bytes: &[u8]) -> Bytes {
         self.pending.extend_from_slice(bytes);
         let Some(end) = find_last_end(&self.pending) else { return Bytes::new() };
@@ -54,12 +54,12 @@
         whole
     }
 
-    /// Bytes of an event that is not whole.
+    /// Bytes of the incomplete event at the end.
     pub fn pending(&self) -> &[u8] {
         &self.pending
     }
 
-    /// Forgets an event that will not become whole.
+    /// Discards the incomplete event at the end.
     pub fn drop_pending(&mut self) {
         self.pending.clear();
     }
@@ -80,28 +80,28 @@
     })
 }
 
-/// The id that an event names.
+/// Reads the `id` field of an event, if it is a number.
 fn event_id(event: &[u8]) -> Option<u64> {
     let mut lines = event.split(|byte| *byte == b'\n');
     let value = lines.find_map(|line| line.strip_prefix(b"id:"))?;
     std::str::from_utf8(value).ok()?.trim().parse().ok()
 }
 
-/// How one endpoint's part of a stream ended.
+/// How an endpoint's part of a stream ended.
 enum End {
-    /// Whole.
+    /// The stream is complete.
     Complete,
-    /// Broken off by the endpoint.
+    /// The connection to the endpoint broke.
     Interrupted,
-    /// Nothing came for long; the right to another attempt is taken.
+    /// The endpoint stayed silent past the timeout; a retry has been taken.
     Unresponsive,
-    /// The caller left.
+    /// The caller disconnected.
     CallerLeft,
-    /// Time ran out.
+    /// The deadline passed.
     DeadlineExceeded,
 }
 
-/// Starts passing a stream on; the answer keeps the head of its first endpoint.
+/// Starts forwarding a stream; the response has the head of the first endpoint's answer.
 pub fn start<D: Dialect>(
     shared: &Rc<Shared<D>>,
     call: Call,
@@ -132,6 +132,7 @@
     response
 }
 
+/// Forwards one stream from its endpoints to its caller.
 struct Relay<'a, D> {
     shared: &'a Rc<Shared<D>>,
     call: Call,
@@ -179,12 +180,12 @@
         }
     }
 
-    /// Passes on what one endpoint sends.
+    /// Forwards what one endpoint sends until its part of the stream ends.
     async fn relay(&mut self, answer: EndpointAnswer) -> End {
         let EndpointAnswer { choice, response, head, connection, mut flight, sent, continued } = answer;
         let mut body = response.into_body();
         let whole_events = self.call.route.resumable || self.has_copy();
-        // A stream that cannot be resumed is waited for to its end.
+        // A stream that cannot be resumed is not abandoned.
         let may_abandon = self.shared.options.policy.guard.impatience && self.call.route.resumable;
         let timeout = may_abandon.then(|| self.call.silence_timeout());
         let mut silent_at = timeout.map(|timeout| Moment::now() + timeout);
@@ -228,7 +229,7 @@
             }
             flight.note_read();
             if !began {
-                // An engine begins a request with its first output.
+                // The first output shows that the engine has begun to run the request.
                 began = true;
                 call::record_begun(self.shared, &self.call, &mut self.progress, Moment::now());
             }
@@ -250,7 +251,7 @@
         End::Complete
     }
 
-    /// Hands a part on to the caller. While too much is held for others, the endpoint is read no further.
+    /// Sends a part to the caller. Waits, without reading from the endpoint, while too many bytes are buffered.
     async fn forward(&mut self, part: &[u8]) -> Result<(), End> {
         let mut hold = Hold::new(&self.shared.holdings);
         let fits = tokio::select! {
@@ -261,7 +262,7 @@
         self.sender.send(Ok(hold.keep(part.to_vec(), Some(self.call.cut.clone())))).await.map_err(|_| End::CallerLeft)
     }
 
-    /// True where another endpoint keeps a copy of the stream's memory. A resumable stream goes on anywhere.
+    /// Returns true if the stream depends on a copy of its memory at another endpoint. A resumable stream does not.
     fn has_copy(&self) -> bool {
         let kept = self.progress.last_choice.as_ref().is_some_and(|last| last.keeper.is_some());
         kept && !self.call.route.resumable
@@ -278,7 +279,7 @@
         timeout_at(self.call.deadline, next).await.ok()?
     }
 
-    /// Takes the stream up at another endpoint, after the last whole event.
+    /// Resumes the stream at another endpoint, after the last complete event.
     async fn resume(&mut self, retry_taken: bool) -> Option<EndpointAnswer> {
         if !self.call.route.resumable {
             return None;
@@ -303,10 +304,10 @@
         None
     }
 
-    /// Takes the right to try another endpoint after one that did not take the stream up.
+    /// Takes a retry after an endpoint that did not resume the stream.
     fn take_retry_after_not_run(&mut self, answer: &EndpointAnswer) -> bool {
         call::log_failure(self.shared, &self.call, &self.progress, &answer.choice, "it does not go on", Ran::No);
-        // What did not run needs no new right of the route.
+        // An attempt that did not run does not count towards the route's bound.
         self.progress.possible_runs = self.progress.possible_runs.saturating_sub(1);
         call::take_retry(self.shared, &self.call, &mut self.progress)
     }
