--- a/crates/rudder-gateway/src/dialect.rs
+++ b/crates/rudder-gateway/src/dialect.rs
@@ -1,4 +1,4 @@
-//! What callers, operators and endpoints speak, as the entry sees it.
+//! The interface between the gateway and the formats that callers, operators and endpoints use.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,39 +10,39 @@
 
 use crate::{Plan, options::Duties, plan::Fault};
 
-/// Why a configuration document is refused.
+/// Why a configuration document is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DocumentFault {
-    /// It cannot be read.
+    /// It cannot be parsed.
     #[error("cannot be read: {0}")]
     Unreadable(String),
-    /// Its parts do not fit together.
+    /// It is inconsistent.
     #[error(transparent)]
     Invalid(#[from] Fault),
 }
 
-/// Why a word of an endpoint is refused: it comes from another writer, and names no endpoint to use.
+/// Why a report of an endpoint is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ReportError {
-    /// It is longer than any endpoint's, or broke off.
+    /// It exceeds the size limit or broke off.
     #[error("it is too large or broke off")]
     TooLarge,
-    /// Its bytes, fields or types are not those of an endpoint's word.
+    /// It cannot be parsed.
     #[error("it cannot be read: {0}")]
     Unreadable(String),
-    /// A field is empty, or holds what no endpoint says.
+    /// A field is empty or invalid.
     #[error("{0} holds what no endpoint says")]
     Value(&'static str),
-    /// It leaves out the start that the endpoint tells.
+    /// It omits the endpoint's start time, which earlier reports named.
     #[error("it does not tell the endpoint's start, which is known")]
     Born,
-    /// It takes a known endpoint to a service that the configuration does not name.
+    /// It moves a known endpoint to a service that the configuration does not name.
     #[error("the configuration does not name its service")]
     Service,
 }
 
 impl ReportError {
-    /// The fault's name in metrics.
+    /// The reason's label in metrics.
     pub fn reason(&self) -> &'static str {
         match self {
             ReportError::TooLarge => "too_large",
@@ -54,201 +54,200 @@
     }
 }
 
-/// One part of a prompt that requests may share.
+/// A part of a prompt that other requests may share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Identifies its content.
+    /// Id of its content.
     pub id: u64,
-    /// Its length.
+    /// Its length in tokens.
     pub tokens: u32,
 }
 
-/// What a request says of the work it asks of an engine.
+/// The work that a request asks of an engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Prompt {
-    /// Tokens of the prompt.
+    /// Length of the prompt in tokens.
     pub tokens: u32,
-    /// Tokens generated at most.
+    /// Upper bound of the generated tokens.
     pub max_answer: u32,
-    /// The caller's guess of the tokens generated.
+    /// The caller's estimate of the generated tokens.
     pub answer_hint: Option<u32>,
-    /// Its parts in order; the last one is the request's own or its session's.
+    /// The prompt's parts in order; the last one belongs to the request or its session.
     pub parts: Vec<PromptPart>,
 }
 
 impl Prompt {
-    /// The last part that other requests share: the one before the request's own.
+    /// The last shared part: the one before the request's own, or the only one.
     pub fn session(&self) -> Option<&PromptPart> {
         self.parts.iter().nth_back(1).or(self.parts.last())
     }
 
-    /// Tokens of the session's part. The parts before it are shared by so many requests that every
-    /// engine keeps them.
+    /// Tokens of the session's part. The parts before it are shared so widely that every engine is taken to cache them.
     pub fn session_tokens(&self) -> u32 {
         if self.parts.len() < 2 { 0 } else { self.session().map_or(0, |part| part.tokens) }
     }
 
-    /// Tokens that will be generated, as far as the caller can tell.
+    /// Expected number of generated tokens: the caller's estimate, or the upper bound.
     pub fn expected_answer(&self) -> u32 {
         self.answer_hint.unwrap_or(self.max_answer)
     }
 
-    /// Tokens that no other request shares.
+    /// Tokens outside the shared parts.
     pub fn own_tokens(&self) -> u32 {
         let shared: u32 = self.parts.iter().rev().skip(1).map(|part| part.tokens).sum();
         self.tokens.saturating_sub(shared)
     }
 }
 
-/// What a caller's head says.
+/// The parsed head of a caller's request.
 #[derive(Clone, Debug, Default)]
 pub struct CallHead {
-    /// Identifies the request; empty where the caller gave none.
+    /// The request's id; empty if the caller gave none.
     pub id: String,
-    /// How long the caller waits.
+    /// How long the caller waits for an answer.
     pub deadline: Option<Duration>,
-    /// Its key.
+    /// The caller's key.
     pub key: Option<String>,
-    /// The engine's work, where it names any.
+    /// The work for an engine, if the head describes any.
     pub prompt: Option<Prompt>,
-    /// Last event that the caller has of a stream it takes up.
+    /// Last event that the caller has received of a stream that it resumes.
     pub last_event: Option<u64>,
 }
 
-/// What the entry tells an endpoint beside the caller's own head.
+/// What the gateway adds to a caller's head for an endpoint.
 #[derive(Clone, Debug)]
 pub struct Forward<'a> {
-    /// The endpoint meant; any other refuses.
+    /// The intended endpoint; any other rejects the request.
     pub endpoint: &'a str,
-    /// How long the answer is waited for.
+    /// Time left until the deadline.
     pub remaining: Duration,
-    /// The organisation that holds the caller's key.
+    /// The organisation that owns the caller's key.
     pub organisation: Option<&'a str>,
-    /// Rank among the engine's requests; 0 is the highest.
+    /// Priority within the engine; 0 is the highest.
     pub tier: Option<u8>,
-    /// Last event that the caller has already.
+    /// Last event that the caller has received.
     pub last_event: Option<u64>,
-    /// Address of the endpoint that shall keep a copy of the request's memory while it runs.
+    /// Address of the endpoint that receives a copy of the request's memory while it runs.
     pub copy_to: Option<&'a str>,
-    /// Address of the endpoint from which the one meant takes what that keeps of the prompt, before it reads the rest.
+    /// Address of the endpoint from which the intended one fetches cached parts of the prompt before it computes the rest.
     pub fetch_from: Option<&'a str>,
-    /// Address under which the endpoint meant keeps the copy that the request goes on from.
+    /// Address under which the intended endpoint holds the copy that the request resumes from.
     pub resume_from: Option<&'a str>,
 }
 
-/// What an endpoint's answer says beside its content.
+/// The parsed head of an endpoint's answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AnswerHead {
-    /// It answers the request whose id was sent.
+    /// The answer names the id of the request.
     pub id_matches: bool,
-    /// The endpoint says that it did not run the request.
+    /// The endpoint reports that it did not run the request.
     pub not_run: bool,
-    /// It was meant for another endpoint.
+    /// The endpoint reports that the request was intended for another one.
     pub misdirected: bool,
-    /// How long the connection may rest.
+    /// How long the connection may be idle.
     pub keep_alive: Option<Duration>,
-    /// What the endpoint asks of this instance.
+    /// What the endpoint asks this instance to do.
     pub pushback: Option<Pushback>,
-    /// What it says of its rate limit.
+    /// What the endpoint reports of its rate limit.
     pub limit: LimitNotice,
 }
 
-/// What an answer says of the requests that its endpoint takes from all instances together.
+/// What an answer reports of its endpoint's rate limit, which all instances share.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LimitNotice {
-    /// Nothing that can be told.
+    /// Nothing usable.
     #[default]
     Unknown,
-    /// Any number.
+    /// There is no limit.
     Unlimited,
-    /// No more than this.
+    /// The limit.
     Limited(RequestRate),
 }
 
-/// What an endpoint asks, in an answer, of the instance that it answers.
+/// A request of an endpoint to the instance, sent with an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Pushback {
-    /// To send it nothing for this long.
+    /// Send nothing for this long.
     Backoff(Duration),
-    /// To send it nothing more: it leaves.
+    /// Send nothing more: the endpoint is leaving.
     Leaving,
 }
 
-/// Who asks which instances to use.
+/// A caller's query for the instances to use.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EntriesQuery {
     /// The hall next to the caller.
     pub hall: Option<String>,
     /// The region that the caller is in.
     pub region: Option<String>,
-    /// The host that it wants to reach.
+    /// The host that the caller wants to reach.
     pub host: Option<String>,
 }
 
-/// What a request at one of the other listeners asks for.
+/// An operation at one of the control listeners.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Operation {
-    /// Whether this instance takes callers.
+    /// Report whether this instance serves callers.
     Ready,
-    /// Which instances to use, for this caller.
+    /// List the instances that a caller should use.
     Entries(EntriesQuery),
     /// Replace the configuration document.
     Replace,
     /// Read the configuration document.
     Read,
-    /// A heartbeat of this endpoint.
+    /// Accept a heartbeat of this endpoint.
     Heartbeat(String),
-    /// This endpoint ends.
+    /// Deregister this endpoint.
     Leave(String),
-    /// The endpoints of this hall are to get nothing more.
+    /// Evacuate this hall: send no more requests to its endpoints.
     Evacuate(String),
-    /// The evacuation of this hall ends.
+    /// End the evacuation of this hall.
     Return(String),
-    /// Nothing that is known.
+    /// Not a known operation.
     Unknown,
 }
 
-/// Turns heads and bodies into typed calls and back.
+/// Converts between heads and bodies of messages and their typed forms.
 pub trait Dialect: Clone + 'static {
-    /// Reads a configuration document whole.
+    /// Parses and validates a configuration document.
     ///
     /// # Errors
-    /// When it cannot be read, or could not be put in force.
+    /// Fails if the document cannot be parsed or is inconsistent.
     fn read_document(&self, body: &[u8]) -> Result<Plan, DocumentFault>;
 
-    /// Reads a caller's head.
+    /// Parses the head of a caller's request.
     fn read_call(&self, head: &request::Parts) -> CallHead;
 
-    /// Makes a caller's headers those that an endpoint gets.
+    /// Turns a caller's headers into those for an endpoint.
     fn write_forward(&self, headers: &mut HeaderMap, forward: &Forward);
 
-    /// Reads the head of an endpoint's answer to the request `id`.
+    /// Parses the head of an endpoint's answer to the request `id`.
     fn read_answer(&self, id: &str, head: &response::Parts) -> AnswerHead;
 
-    /// What a request at another listener than the callers' asks for.
+    /// Parses the operation of a request at a control listener.
     fn read_operation(&self, method: &Method, uri: &Uri) -> Operation;
 
-    /// Reads a heartbeat of the endpoint `name`.
+    /// Parses a heartbeat of the endpoint `name`.
     ///
     /// # Errors
-    /// When it is not what an endpoint says.
+    /// Fails if the report is invalid.
     fn read_heartbeat(&self, name: &str, body: &[u8]) -> Result<Registration, ReportError>;
 
-    /// Reads an endpoint's word that it ends: the start of the life that does, where it tells it.
+    /// Parses an endpoint's deregistration and returns the start time of the life that ends, if it is named.
     ///
     /// # Errors
-    /// When it is not what an endpoint says.
+    /// Fails if the report is invalid.
     fn read_leave(&self, body: &[u8]) -> Result<Option<Born>, ReportError>;
 
-    /// The answer to [`Operation::Entries`].
-    fn write_entries(&self, addresses: &[Arc<str>], keep: Duration) -> Bytes;
+    /// Formats the answer to [`Operation::Entries`]; the caller may cache it for `ttl`.
+    fn write_entries(&self, addresses: &[Arc<str>], ttl: Duration) -> Bytes;
 
-    /// The answer to a heartbeat.
+    /// Formats the answer to a heartbeat.
     fn write_heartbeat(&self) -> Bytes;
 
-    /// A call that the holder of a duty makes.
+    /// Builds the request for a call of the holder of a duty.
     fn write_duty(&self, duties: &Duties, fence: Fence, call: &DutyCall) -> Request<Full<Bytes>>;
 
-    /// What the answer to such a call says.
+    /// Interprets the answer to such a call.
     fn read_duty(&self, call: &DutyCall, status: StatusCode, body: &[u8]) -> CallOutcome;
 }
