--- a/crates/rudder-gateway/src/peers/mod.rs
+++ b/crates/rudder-gateway/src/peers/mod.rs
@@ -1,7 +1,7 @@
-//! Links between instances: frames of `rmp-serde` over TCP, one connection in each direction.
+//! Links between instances: `MessagePack` frames over TCP, one connection in each direction.
 //!
-//! A message may be lost, doubled or late, and whoever needs it sends it again; so a link that is full
-//! or broken drops what it holds. What waits is bounded in bytes ([`queue`]).
+//! Delivery is not reliable: messages may be lost, duplicated or delayed, and the protocols above resend them. A link that
+//! is full or broken therefore drops its messages. Queues are bounded in bytes ([`queue`]).
 
 pub mod queue;
 
@@ -25,18 +25,18 @@
     upstream,
 };
 
-/// Events that wait for the reducer, from which on messages of other instances are dropped.
+/// Events queued for the reducer from which on messages of other instances are dropped.
 const MAX_QUEUED_EVENTS: usize = 4_096;
-/// Largest frame; a snapshot travels in one.
+/// Largest frame; a snapshot is sent in one frame.
 const MAX_FRAME_BYTES: usize = 32 << 20;
-/// A link is given this long to come up.
+/// Timeout for opening a link.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// A frame that is not taken within this time is lost, and the link with it.
+/// Timeout for writing a frame. The link is closed when it expires.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
-/// A link that had nothing to carry for this long is closed.
+/// A link that is idle for this long is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What one frame carries.
+/// The content of a frame.
 #[derive(Debug, Serialize, Deserialize)]
 struct Envelope {
     from: InstanceId,
@@ -47,7 +47,7 @@
     LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec()
 }
 
-/// Links to other instances; each starts with its first message.
+/// Links to other instances; each is opened with its first message.
 #[derive(Debug)]
 pub struct Links {
     name: InstanceId,
@@ -57,15 +57,15 @@
 }
 
 impl Links {
-    /// No links yet, for the instance `name`.
+    /// Creates the links of the instance `name`, none of them open.
     pub fn new(name: InstanceId, metrics: PeerMetrics) -> Links {
         Links { name, queues: HashMap::new(), queued: Rc::default(), metrics }
     }
 
-    /// Sends a message, or drops it where too much waits already.
+    /// Sends a message, or drops it if too many bytes are queued.
     ///
     /// # Panics
-    /// When the message cannot be encoded, which its type rules out.
+    /// Panics if the message cannot be encoded, which its type rules out.
     pub fn send(&mut self, to: &InstanceId, message: PeerMessage) {
         let kind = message.kind();
         let envelope = Envelope { from: self.name.clone(), message };
@@ -81,7 +81,7 @@
         if let Some(open) = self.queues.get(to).filter(|queue| !queue.is_closed()) {
             return open.clone();
         }
-        // Links to instances that ended stay behind closed; they go when a new one is needed.
+        // Closed links are removed only here.
         self.queues.retain(|_, queue| !queue.is_closed());
         let queue = Rc::new(Queue::new(self.queued.clone()));
         tokio::task::spawn_local(run_link(to.clone(), queue.clone()));
@@ -95,7 +95,7 @@
     queue.close();
 }
 
-/// Carries frames to one instance until the link breaks or rests.
+/// Sends frames to one instance until the link breaks or becomes idle.
 async fn send_frames(to: InstanceId, queue: &Queue) {
     let Ok(Ok(stream)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(&*to)).await else { return };
     if upstream::configure_socket(&stream).is_err() {
@@ -138,15 +138,15 @@
         let frame = match frame {
             Ok(frame) => frame,
             Err(error) => {
-                // Links break with every instance that ends, which the directory's lines tell; a bad frame is a fault.
+                // A link breaks whenever an instance ends, which the directory logs. An invalid frame is a fault.
                 if error.kind() == std::io::ErrorKind::InvalidData {
-                    spdlog::warn!("a link carries a frame that is too large: {error}");
+                    spdlog::warn!("peer sent an oversized frame: {error}");
                 }
                 return;
             }
         };
         let Ok(Envelope { from, message }) = rmp_serde::from_slice(&frame) else {
-            spdlog::warn!("a frame of another instance cannot be read");
+            spdlog::warn!("cannot decode frame from peer");
             return;
         };
         let kind = message.kind();
--- a/crates/rudder-gateway/src/peers/queue.rs
+++ b/crates/rudder-gateway/src/peers/queue.rs
@@ -1,4 +1,4 @@
-//! Frames that wait for the links to other instances, bounded in bytes for each link and for all together.
+//! Queues of frames for the links to other instances, bounded in bytes for each link and in total.
 
 use std::{
     cell::{Cell, RefCell},
@@ -9,15 +9,15 @@
 use bytes::Bytes;
 use tokio::sync::Notify;
 
-/// Bytes that wait for one link at most; a larger frame waits alone. About a second of the slowest link, 10 Mbit/s.
+/// Largest number of bytes queued for one link; a larger frame is queued alone. A link of 10 Mbit/s sends it in about a second.
 const MAX_LINK_BYTES: usize = 1 << 20;
-/// Bytes that wait for all links together at most: a part of the 32 MB that control may take of an instance.
+/// Largest number of bytes queued for all links: a part of the 32 MB that an instance has for control.
 const MAX_TOTAL_BYTES: usize = 12 << 20;
 
-/// A frame of so many bytes may wait alone on its link whatever the others hold: leases and the log go on by such frames.
+/// A frame of up to this size is queued on an empty link whatever the total, so that leases and log heartbeats go through.
 const SMALL_FRAME_BYTES: usize = 16 << 10;
 
-/// Bytes that wait for all links.
+/// The number of bytes queued for all links.
 #[derive(Debug, Default)]
 pub struct QueuedBytes {
     bytes: Cell<usize>,
@@ -25,12 +25,12 @@
 }
 
 impl QueuedBytes {
-    /// Bytes that wait now.
+    /// Bytes queued now.
     pub fn bytes(&self) -> usize {
         self.bytes.get()
     }
 
-    /// The most that ever waited.
+    /// Most bytes that were ever queued.
     pub fn peak(&self) -> usize {
         self.peak.get()
     }
@@ -46,7 +46,7 @@
     }
 }
 
-/// Frames that wait for one link; it is closed when its carrier ends.
+/// The frames queued for one link; closed when the link ends.
 #[derive(Debug)]
 pub struct Queue {
     frames: RefCell<VecDeque<Bytes>>,
@@ -57,17 +57,17 @@
 }
 
 impl Queue {
-    /// An empty queue, whose bytes count among `all`.
+    /// Creates an empty queue whose bytes count towards `all`.
     pub fn new(all: Rc<QueuedBytes>) -> Queue {
         Queue { frames: RefCell::default(), bytes: Cell::new(0), arrived: Notify::new(), closed: Cell::new(false), all }
     }
 
-    /// Adds a frame, unless too much waits already. Returns whether it was taken.
+    /// Appends a frame, unless too many bytes are queued or the queue is closed. Returns whether it was appended.
     pub fn push(&self, frame: Bytes) -> bool {
         let size = frame.len();
         let queued = self.bytes.get();
         let link_fits = queued == 0 || queued + size <= MAX_LINK_BYTES;
-        // A leader may have a thousand links: one large frame for each would be far more than all may hold.
+        // A leader may have a thousand links, so one large frame on each must not bypass the total bound.
         let all_fit = self.all.bytes() == 0
             || self.all.bytes() + size <= MAX_TOTAL_BYTES
             || (queued == 0 && size <= SMALL_FRAME_BYTES);
@@ -81,7 +81,7 @@
         true
     }
 
-    /// The next frame, as soon as there is one.
+    /// Waits for the next frame and removes it.
     pub async fn pop(&self) -> Bytes {
         loop {
             if let Some(frame) = self.try_pop() {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// The next frame, if there is one.
+    /// Removes the next frame, if there is one.
     pub fn try_pop(&self) -> Option<Bytes> {
         let frame = self.frames.borrow_mut().pop_front()?;
         self.bytes.set(self.bytes.get() - frame.len());
@@ -99,13 +99,13 @@
         Some(frame)
     }
 
-    /// Drops what waits and takes no more.
+    /// Drops the queued frames and rejects further ones.
     pub fn close(&self) {
         self.closed.set(true);
         while self.try_pop().is_some() {}
     }
 
-    /// True where no more is taken.
+    /// Returns true once the queue is closed.
     pub fn is_closed(&self) -> bool {
         self.closed.get()
     }
--- a/crates/rudder-gateway/tests/links.rs
+++ b/crates/rudder-gateway/tests/links.rs
@@ -1,4 +1,4 @@
-//! Links between instances: what waits is bounded, and a bad frame costs its link alone.
+//! Links between instances: queues are bounded, and an invalid frame closes only its own link.
 
 use std::{rc::Rc, time::Duration};
 
@@ -24,18 +24,18 @@
 }
 
 #[test]
-fn a_link_that_takes_nothing_holds_a_megabyte_at_most() {
+fn the_queue_of_a_blocked_link_holds_at_most_a_megabyte() {
     let all = Rc::new(QueuedBytes::default());
     let queue = Queue::new(all.clone());
-    let taken = (0..100).filter(|_| queue.push(frame(100))).count();
-    assert_eq!(taken, 10);
+    let queued = (0..100).filter(|_| queue.push(frame(100))).count();
+    assert_eq!(queued, 10);
     assert_eq!(all.bytes(), 1000 * KILOBYTE);
-    // What has gone out makes room.
+    // A frame that was sent makes room for another.
     assert!(queue.try_pop().is_some() && queue.push(frame(100)));
 }
 
 #[test]
-fn a_frame_larger_than_the_bound_waits_alone() {
+fn a_frame_larger_than_the_bound_is_queued_alone() {
     let queue = Queue::new(Rc::default());
     assert!(queue.push(frame(4000)));
     assert!(!queue.push(frame(1)));
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn all_links_together_hold_twelve_megabytes_at_most() {
+fn all_queues_together_hold_at_most_twelve_megabytes() {
     let all = Rc::new(QueuedBytes::default());
     let queues: Vec<Queue> = (0..300).map(|_| Queue::new(all.clone())).collect();
     for _ in 0..10 {
@@ -52,23 +52,23 @@
         }
     }
     assert!(all.bytes() <= 12 << 20, "{}", all.bytes());
-    // Heartbeats of the log are small, and go out on links that are idle.
-    let rest = Queue::new(all.clone());
-    while rest.push(frame(1)) {}
+    // Small frames such as log heartbeats are still queued on an idle link when the total is used up.
+    let filler = Queue::new(all.clone());
+    while filler.push(frame(1)) {}
     let idle = Queue::new(all.clone());
     assert!(!idle.push(frame(100)) && idle.push(frame(16)) && !idle.push(frame(16)));
     let second = queues.iter().filter(|queue| queue.try_pop().is_some() && queue.try_pop().is_some()).count();
     assert!(second <= 120, "{second} links hold more than one frame");
     idle.close();
-    rest.close();
+    filler.close();
     queues.iter().for_each(Queue::close);
     assert_eq!(all.bytes(), 0);
     assert!(!queues[0].push(frame(1)));
 }
 
-/// A link that says its next frame has 4 GB, one that carries what is no message, and a sound one.
+/// One link announces a frame of 4 GB, one carries an undecodable frame, and a third must still deliver its message.
 #[test]
-fn a_bad_frame_costs_its_link_alone() {
+fn an_invalid_frame_closes_only_its_own_link() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let (inputs, events) = crossbeam_channel::unbounded();
     LocalSet::new().block_on(&runtime, async {
@@ -77,12 +77,12 @@
         tokio::task::spawn_local(peers::accept(listener, Rc::new(inputs), PeerMetrics::default()));
         for bytes in [&[255_u8, 255, 255, 255, 1][..], &[0, 0, 0, 2, 7, 7][..]] {
             let mut stream = TcpStream::connect(address).await.expect("a connection");
-            stream.write_all(bytes).await.expect("it takes them");
+            stream.write_all(bytes).await.expect("the bytes are written");
         }
         let mut links = Links::new("127.0.0.1:1".into(), PeerMetrics::default());
         links.send(&address.to_string().as_str().into(), PeerMessage::Notify);
         tokio::time::sleep(Duration::from_millis(300)).await;
     });
-    let got: Vec<Event> = events.try_iter().collect();
-    assert!(matches!(got[..], [Event::Peer { message: PeerMessage::Notify, .. }]), "{got:?}");
+    let received: Vec<Event> = events.try_iter().collect();
+    assert!(matches!(received[..], [Event::Peer { message: PeerMessage::Notify, .. }]), "{received:?}");
 }
