--- a/crates/rudder-gateway/src/driver.rs
+++ b/crates/rudder-gateway/src/driver.rs
@@ -1,4 +1,4 @@
-//! The control thread: it owns the reducer, and turns its effects into notices for traffic.
+//! The control thread: it owns the reducer and turns its effects into notices for the traffic thread.
 
 use std::{
     sync::{Arc, atomic::Ordering},
@@ -27,41 +27,41 @@
 
 /// Time between ticks of the reducer.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// Bytes of commands in the log that make a snapshot due.
+/// Bytes of log commands after which a snapshot is taken.
 const SNAPSHOT_BYTES: u64 = 512 << 10;
-/// Entries kept before the snapshot for followers that lag a little.
+/// Log entries kept before the snapshot, for followers that lag slightly.
 const SNAPSHOT_KEEP_ENTRIES: u64 = 4;
 
-/// Heartbeats that an endpoint may miss before it is shown as silent: one may be lost with the instance that it went to.
+/// Heartbeats that an endpoint may miss before it counts as silent; one may be lost with the instance that received it.
 const MAX_MISSED_HEARTBEATS: u32 = 2;
-/// A heartbeat may come this much late.
+/// Tolerated delay of a heartbeat.
 const MAX_HEARTBEAT_DELAY: Duration = Duration::from_millis(2600);
 
-/// Entries in messages that may wait for the traffic thread, some 200 bytes each: about as much as may wait for links.
+/// Message entries, of about 200 bytes each, that may be queued for the traffic thread: about as much as for all links.
 const MAX_BACKLOG_ENTRIES: usize = 60_000;
-/// A message of so many entries goes out whatever waits: leases and the log go on by such.
+/// A message of up to this many entries is queued whatever the backlog, so that leases and log heartbeats go through.
 const SMALL_MESSAGE_ENTRIES: usize = 16;
 
-/// Something for the traffic thread.
+/// A message to the traffic thread.
 #[derive(Debug)]
 pub enum Notice {
     /// Send a message to another instance.
     Send(InstanceId, PeerMessage),
     /// The view changed.
     Published(Box<PublishedView>),
-    /// The work of the other instances at endpoints, where it has changed, and when it was so.
+    /// The load of the other instances at endpoints as of this time; `None` if it has not changed.
     Others(Option<Vec<Load>>, Moment),
     /// The rate limits of endpoints, as of this time.
     Limits(Vec<LimitReport>, Moment),
-    /// The view is proved the newest as of this time.
+    /// The view is proved to be the newest as of this time.
     Proved(Moment),
-    /// Somebody's ticket is answered.
+    /// The reply to a ticket.
     Reply(u64, Reply),
-    /// Make a call that only the holder of a duty makes.
+    /// Make a call of the holder of a duty.
     DutyCall(Box<DutyTask>),
 }
 
-/// The control thread's state around the reducer's.
+/// State of the control thread.
 pub struct Driver {
     state: State,
     epoch: Moment,
@@ -76,15 +76,15 @@
     endpoints: Vec<Arc<Registration>>,
     batch: Vec<Notice>,
     status: Arc<ControlStatus>,
-    /// Origin of the time of day that the reducer was told last.
+    /// The wall-clock time at `epoch` that was last reported to the reducer.
     clock_origin: Duration,
     handover: Duration,
 }
 
-/// Opens the disk and prepares the reducer.
+/// Opens the data folder and creates the reducer.
 ///
 /// # Errors
-/// When the data folder cannot be opened or its thread not be started.
+/// Fails if the data folder cannot be opened or the disk thread cannot be started.
 pub fn prepare(
     options: &Options,
     inputs: &Sender<Event>,
@@ -125,7 +125,7 @@
     })
 }
 
-/// The time of day at `epoch`, by the clock of this machine as it stands now.
+/// Converts `epoch` to wall-clock time by the current clock of this machine.
 fn wall_clock_at(epoch: Moment) -> Duration {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     now.saturating_sub(epoch.elapsed())
@@ -177,7 +177,7 @@
     }
 }
 
-/// The duties of the settings, with what the policy says of them.
+/// The duties of the settings, with the scaling options of the policy.
 fn duty_options(options: &Options) -> DutyOptions {
     let Some(duties) = &options.duties else { return DutyOptions::default() };
     let scaling = duties.core.scaling.as_ref().map(|_| options.policy.scaling.clone());
@@ -185,17 +185,17 @@
 }
 
 impl Driver {
-    /// Where the replica stands, for the metrics.
+    /// The status that the thread updates, for the traffic thread.
     pub fn status(&self) -> Arc<ControlStatus> {
         self.status.clone()
     }
 
-    /// When the process started, as the reducer counts time.
+    /// When the process started: the zero of the reducer's time.
     pub fn epoch(&self) -> Moment {
         self.epoch
     }
 
-    /// Tells the reducer when the clock of this machine has stepped.
+    /// Reports steps of this machine's wall clock to the reducer.
     fn check_clock(&mut self) {
         let origin = wall_clock_at(self.epoch);
         if origin.abs_diff(self.clock_origin) >= clock::STEP {
@@ -227,7 +227,7 @@
                 Err(RecvTimeoutError::Disconnected) => return,
                 Err(RecvTimeoutError::Timeout) => {}
             }
-            // A flood of inputs must not keep time from advancing.
+            // Ticks must go on while events keep arriving.
             if Moment::now() >= next {
                 self.check_clock();
                 self.reduce(Event::Tick);
@@ -250,7 +250,7 @@
         }
     }
 
-    /// Tells traffic of a newer view first and of its proof after it.
+    /// Queues notices of changes in the view; the proof of a view follows the view.
     fn publish(&mut self) {
         let view = &self.state.view;
         if view.revision != self.view_edition {
@@ -306,7 +306,7 @@
             Effect::Call { ticket, fence, age, call } => {
                 self.batch.push(Notice::DutyCall(Box::new(DutyTask { ticket, fence, age, call })));
             }
-            // Requests are decided on the traffic thread, which also says when a planned stop is complete.
+            // The traffic thread handles requests and completes a planned stop itself.
             Effect::Verdict { .. }
             | Effect::Admin { .. }
             | Effect::Poll { .. }
@@ -315,7 +315,7 @@
         }
     }
 
-    /// Hands a message to traffic, unless that is so far behind that what waits would take the memory: who needs it asks again.
+    /// Queues a message for the traffic thread, or drops it if the backlog is too large. Its sender resends if needed.
     fn send(&mut self, to: InstanceId, message: PeerMessage) {
         let weight = message.weight();
         let backlog = &self.status.backlog;
@@ -334,8 +334,7 @@
     }
 }
 
-/// Logs the endpoints that came, went or stand elsewhere now. Both lists are in the order of their ids, and what has not
-/// changed is the same in both.
+/// Logs the endpoints that were added, removed or changed phase. Both lists are ordered by id and share unchanged entries.
 fn log_endpoints(log: &Log, before: &[Arc<Registration>], after: &[Arc<Registration>]) {
     let write = |held: &Registration, phase: String| {
         log.write(What::Endpoint {
