--- a/crates/rudder-gateway/src/head_timer.rs
+++ b/crates/rudder-gateway/src/head_timer.rs
@@ -1,7 +1,6 @@
-//! A bound on the time that a request's head takes, apart from the time that a connection may rest.
+//! A timeout for reading a request's head, separate from the idle timeout of the connection.
 //!
-//! The HTTP library has one timer for both. This one starts with the first byte of a head and ends when
-//! the library hands the head over.
+//! hyper has one timer for both. This one starts with the first byte of a head and stops when hyper has parsed it.
 
 use std::{
     cell::Cell,
@@ -15,17 +14,17 @@
 use rudder_clock::Moment;
 use tokio::sync::Notify;
 
-/// Where a connection stands between heads.
+/// Tracks whether a connection is reading a head, and since when.
 #[derive(Debug, Default)]
 pub struct HeadTimer {
     began: Cell<Option<Moment>>,
-    /// A request is being served: what comes in is its body, or a head that waits its turn.
+    /// A request is being served, so incoming bytes are its body or a pipelined head.
     serving: Cell<bool>,
     started: Notify,
 }
 
 impl HeadTimer {
-    /// Records that bytes came.
+    /// Starts the timer if the bytes that arrived begin a head.
     fn on_bytes(&self) {
         if !self.serving.get() && self.began.get().is_none() {
             self.began.set(Some(Moment::now()));
@@ -33,18 +32,18 @@
         }
     }
 
-    /// Records that a head was handed over.
+    /// Stops the timer, as a head has been parsed.
     pub fn on_head(&self) {
         self.began.set(None);
         self.serving.set(true);
     }
 
-    /// Records that a request was answered.
+    /// Records that a request has been answered.
     pub fn on_answer(&self) {
         self.serving.set(false);
     }
 
-    /// Returns once a head has taken longer than `bound`.
+    /// Waits until reading a head has taken longer than `bound`.
     pub async fn expired(&self, bound: Duration) {
         loop {
             self.started.notified().await;
@@ -57,7 +56,7 @@
     }
 }
 
-/// A connection that tells a [`HeadTimer`] when bytes come.
+/// A connection that notifies a [`HeadTimer`] of incoming bytes.
 #[derive(Debug)]
 pub struct TimedIo<T> {
     inner: T,
@@ -65,7 +64,7 @@
 }
 
 impl<T> TimedIo<T> {
-    /// Watches `inner` for `timer`.
+    /// Wraps `inner` and notifies `timer`.
     pub fn new(inner: T, timer: Rc<HeadTimer>) -> TimedIo<T> {
         TimedIo { inner, timer }
     }
@@ -78,7 +77,7 @@
         buffer: ReadBufCursor<'_>,
     ) -> Poll<std::io::Result<()>> {
         let polled = Pin::new(&mut self.inner).poll_read(context, buffer);
-        // An end of the connection counts as bytes too; then there is nothing left to bound.
+        // The end of the connection starts the timer too, which is harmless.
         if matches!(polled, Poll::Ready(Ok(()))) {
             self.timer.on_bytes();
         }
--- a/crates/rudder-gateway/src/lib.rs
+++ b/crates/rudder-gateway/src/lib.rs
@@ -1,11 +1,11 @@
-//! The event-driven entry of an instance, on tokio and hyper.
+//! The gateway of an instance, on tokio and hyper.
 //!
-//! One thread serves all sockets ([`run`]): callers, operators, endpoints' heartbeats and other
-//! instances. Another owns the reducer ([`driver`]), a third the disk. What callers speak is a
-//! [`Dialect`]: it turns heads and bodies into typed calls and back, and nothing here knows its names.
+//! The traffic thread ([`run`]) serves all sockets: callers, operators, endpoints' heartbeats and other instances. The
+//! control thread ([`driver`]) owns the reducer, and a third thread the disk. A [`Dialect`] defines the formats on the wire:
+//! it converts heads and bodies to typed messages and back.
 //!
-//! A request: [`serve`] reads it, [`call`] finds its route, checks key and freshness, and sends it to
-//! the endpoint that [`choose`] picks, over a connection of [`upstream`]; [`stream`] passes events on.
+//! [`serve`] reads a request. [`call`] finds its route, checks its key and the freshness of the configuration, and sends it
+//! to the endpoint that [`choose`] selects, over a connection of [`upstream`]. [`stream`] forwards events.
 #![deny(missing_docs, unsafe_code)]
 
 pub mod backoff;
--- a/crates/rudder-gateway/src/run.rs
+++ b/crates/rudder-gateway/src/run.rs
@@ -1,4 +1,4 @@
-//! One instance, from its settings to its planned end.
+//! Runs an instance from its settings to its planned stop.
 
 use std::{rc::Rc, sync::atomic::Ordering, thread, time::Duration};
 
@@ -26,21 +26,19 @@
     stop,
 };
 
-/// Time between looks at idle connections and reports of load.
+/// Interval of housekeeping: closing idle connections and reporting load.
 const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(60);
-/// A planned stop waits this long for its last counts to be taken: about one message and its commit, and no longer than
-/// the grace time leaves after the last request was given up.
+/// How long a planned stop waits for its last usage counts to be committed; fits into the rest of the grace period.
 const FINAL_COUNTS_TIMEOUT: Duration = Duration::from_millis(400);
-/// Time between descriptions of services to the holder of duties: a tenth of the time that an engine takes to start.
+/// Interval of reports on scaled services to the reducer; short against the start of an engine.
 const SERVICES_INTERVAL: Duration = Duration::from_millis(400);
-/// Lines that are still in the log's queue get this long.
+/// Time for the log's writer thread to write the last lines.
 const LOG_FLUSH_TIME: Duration = Duration::from_millis(120);
 
-/// Runs an instance until a signal to stop has been carried out. `reload` reads the settings anew and
-/// tells which instances to start from.
+/// Runs an instance until a signal has stopped it. `reload` reads the settings again and returns the seed instances.
 ///
 /// # Errors
-/// When the data folder cannot be opened, an address not be bound, or a thread not be started.
+/// Fails if the data folder cannot be opened, an address cannot be bound or a thread cannot be started.
 pub fn run<D: Dialect>(dialect: D, options: Options, reload: impl Fn() -> Result<Vec<InstanceId>>) -> Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().wrap_err("start the runtime")?;
     let log = Log::start(options.name(), options.log_lines, std::io::stdout());
@@ -96,7 +94,7 @@
     Ok(())
 }
 
-/// Waits until the log holds the number of requests that began here, at most for [`FINAL_COUNTS_TIMEOUT`].
+/// Waits up to [`FINAL_COUNTS_TIMEOUT`] until the usage counts of this instance are committed.
 async fn flush_begun<D: Dialect>(shared: &Shared<D>) {
     if shared.options.duties.is_none() {
         return;
@@ -104,7 +102,7 @@
     shared.report_begun();
     let end = Moment::now() + FINAL_COUNTS_TIMEOUT;
     loop {
-        // The control thread's word is as old as its last tick.
+        // The control thread updates its status once per tick.
         tokio::time::sleep(HOUSEKEEPING_INTERVAL).await;
         if shared.status.unreported_requests.load(Ordering::Relaxed) == 0 || Moment::now() >= end {
             return;
@@ -112,7 +110,7 @@
     }
 }
 
-/// A reload while the instance stops changes nothing more.
+/// Discards reload signals while the instance stops.
 async fn ignore_reloads(hangup: &mut tokio::signal::unix::Signal) {
     while hangup.recv().await.is_some() {}
     std::future::pending::<()>().await;
@@ -148,12 +146,12 @@
             }
         }
     }
-    // The control thread ends only by a failed promise; without it nothing here may go on.
+    // The control thread ends early only by a panic. Traffic must not continue without it.
     spdlog::critical!("the control thread has failed");
     std::process::exit(4);
 }
 
-/// Closes what has rested too long, and tells the reducer what is under way.
+/// Closes idle connections, discards expired state, and reports load and usage to the reducer.
 async fn run_housekeeping<D: Dialect>(shared: Rc<Shared<D>>) {
     let mut reported = Vec::new();
     let mut described = Moment::now();
@@ -161,7 +159,7 @@
     loop {
         tokio::time::sleep(HOUSEKEEPING_INTERVAL).await;
         if let Some(span) = watch.look() {
-            // Whatever waits for a time that came meanwhile looks at it again; what is sent is checked by itself.
+            // Tasks that wait for a time check it again. Attempts check their freshness themselves.
             note_wake();
             shared.log.write(What::Woke { after: span });
         }
--- a/crates/rudder-gateway/src/serve.rs
+++ b/crates/rudder-gateway/src/serve.rs
@@ -1,4 +1,4 @@
-//! Listening: connections of callers, and of those at the other listeners.
+//! Listeners and their connections.
 
 use std::{convert::Infallible, net::SocketAddr, rc::Rc, time::Duration};
 
@@ -21,19 +21,19 @@
     upstream,
 };
 
-/// Connections that wait to be accepted.
+/// Length of the queue of connections to accept.
 const BACKLOG: u32 = 1024;
-/// After a failed accept the next one waits this long; descriptors may have run out.
+/// Delay after a failed accept, as file descriptors may have run out.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// The HTTP library's smallest buffer for a head.
+/// Smallest read buffer that hyper accepts.
 const MIN_HEAD_BUFFER: usize = 8192;
 
-/// Which listener a connection came via.
+/// The kind of listener that accepted a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Listener {
     /// Callers.
     Callers,
-    /// Operators, endpoints, and questions for entries and readiness.
+    /// Operators, endpoints, the directory and readiness checks.
     Control,
     /// Metrics.
     Metrics,
@@ -42,7 +42,7 @@
 /// Listens at `address`.
 ///
 /// # Errors
-/// When the address cannot be bound.
+/// Fails if the address cannot be bound.
 pub fn listen(address: SocketAddr) -> Result<TcpListener> {
     let socket = TcpSocket::new_v4().wrap_err("make a socket")?;
     socket.set_reuseaddr(true).wrap_err("set a socket's options")?;
@@ -66,7 +66,7 @@
 async fn serve<D: Dialect>(shared: Rc<Shared<D>>, stream: TcpStream, via: Listener) {
     let closed = via == Listener::Callers && *shared.stage.borrow() == Stage::Closing;
     if closed || upstream::configure_socket(&stream).is_err() {
-        // Closed without having read anything, the caller asks elsewhere; or the caller has gone already.
+        // The caller has disconnected, or can safely retry elsewhere since nothing was read from it.
         return;
     }
     let limits = shared.current_plan().map_or_else(Limits::default, |plan| plan.limits);
@@ -97,7 +97,7 @@
         () = cut.notified() => return,
         _ = closing => {}
     }
-    // What is under way is finished; an idle connection ends now.
+    // Finishes the request in flight; an idle connection closes now.
     connection.as_mut().graceful_shutdown();
     tokio::select! {
         _ = connection => {}
--- a/crates/rudder-gateway/src/stop.rs
+++ b/crates/rudder-gateway/src/stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop: off the lists at once, callers with an old list served on, nothing cut off.
+//! A planned stop: leaves the lists at once, serves callers with an old list, and drains open requests.
 
 use std::{rc::Rc, time::Duration};
 
@@ -11,21 +11,21 @@
     shared::{Shared, Stage},
 };
 
-/// Callers' lists are taken to have ended this long after their time.
+/// Margin after which callers' cached lists are taken to have expired.
 const ENTRIES_TTL_MARGIN: Duration = Duration::from_millis(700);
-/// Idle connections have this long to end before the process does.
+/// Time for idle connections to close before the process ends.
 const IDLE_CLOSE_TIME: Duration = Duration::from_millis(300);
-/// New requests are taken for this long, and for this part of the grace at the latest, whatever callers' lists
-/// say: a long stream taken later might be cut off by the end of the grace, and a caller with an older list finds
-/// a closed port at once and takes another instance.
+/// Longest time during which new requests are accepted. The end of the grace period might cut off a long stream that is
+/// accepted later, whereas a caller whose connection is closed moves to another instance at once.
 const MAX_ACCEPT_TIME: Duration = Duration::from_millis(2800);
+/// Share of the grace period during which new requests are accepted at most.
 const MAX_ACCEPT_SHARE: f64 = 0.35;
-/// Part of the grace after which what is still under way is cut off.
+/// Share of the grace period after which open requests are cut off.
 const DRAIN_SHARE: f64 = 0.92;
-/// Time between looks at what is under way.
+/// Interval at which the number of open requests is polled.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Carries out a planned stop; returns when the process should end.
+/// Performs a planned stop and returns when the process should end.
 pub async fn stop<D: Dialect>(shared: &Rc<Shared<D>>) {
     let began = Moment::now();
     shared.stage.send_replace(Stage::Draining);
