--- a/crates/rudder-gateway/src/duty.rs
+++ b/crates/rudder-gateway/src/duty.rs
@@ -1,7 +1,7 @@
-//! Calls that only the holder of a duty makes, to the receiver that the settings name.
+//! Calls of the holder of a duty to the receiver that the settings name.
 //!
-//! The lease is looked at when the connection stands, right before the call is written: a process that was paused
-//! meanwhile writes nothing on a lease that has ended.
+//! The lease is checked once the connection is open, right before the call is written, so that a process that was paused
+//! does not make calls on an expired lease.
 
 use std::{rc::Rc, time::Duration};
 
@@ -14,30 +14,30 @@
 
 use crate::{Dialect, options::Duties, shared::Shared, upstream};
 
-/// A connection to the receiver is given this long to come up.
+/// Timeout for connecting to the receiver.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// An answer is waited for this long. A call without one may still be carried out; reports can be repeated, and an order
-/// is told from later ones by its fence.
+/// Timeout for an answer. A call without an answer may still take effect: reports are idempotent, and a scaling
+/// order is superseded by one with a higher fence.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Characters of an answer that are logged at most.
+/// Largest number of characters of an answer that are logged.
 const MAX_LOGGED_CHARS: usize = 120;
-/// Largest answer that is read.
-const MAX_BODY: usize = 64 << 10;
+/// Largest answer body in bytes.
+const MAX_ANSWER_BYTES: usize = 64 << 10;
 
-/// A call to make.
+/// A call to make for the reducer.
 #[derive(Clone, Debug)]
 pub struct DutyTask {
-    /// Identifies it to the reducer.
+    /// The reducer's ticket for it.
     pub ticket: u64,
-    /// Its fence.
+    /// Its fencing token.
     pub fence: Fence,
-    /// How long ago that happened which it tells.
+    /// Time since the events that it reports.
     pub age: Duration,
     /// The call.
     pub call: DutyCall,
 }
 
-/// How a call ended, and the beginning of what the receiver said.
+/// The outcome of a call, and the status and beginning of the receiver's answer for the log.
 struct CallResult {
     outcome: CallOutcome,
     answer: String,
@@ -49,7 +49,7 @@
     }
 }
 
-/// Makes a call and tells the reducer how it ended.
+/// Makes a call and reports its outcome to the reducer.
 pub async fn run<D: Dialect>(shared: Rc<Shared<D>>, task: DutyTask) {
     let began = Moment::now();
     let CallResult { outcome, answer } = match &shared.options.duties {
@@ -90,6 +90,6 @@
 
 async fn exchange(connection: &mut upstream::Connection, request: Request<Full<Bytes>>) -> Option<(StatusCode, Bytes)> {
     let (parts, body) = connection.send(request).await.ok()?.into_parts();
-    let body = Limited::new(body, MAX_BODY).collect().await.ok()?;
+    let body = Limited::new(body, MAX_ANSWER_BYTES).collect().await.ok()?;
     Some((parts.status, body.to_bytes()))
 }
--- a/crates/rudder-gateway/src/options.rs
+++ b/crates/rudder-gateway/src/options.rs
@@ -1,4 +1,4 @@
-//! Settings of the entry.
+//! Options of an instance.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -12,99 +12,98 @@
 
 use crate::Policy;
 
-/// Where an instance listens. Which listeners it has is its part in the deployment: one without a listener for callers
-/// stands in no list that callers get, and serves the configuration and the lists of instances and endpoints only.
+/// Addresses at which an instance listens, which define its role. An instance without a listener for callers appears in no
+/// list for callers and serves only the configuration and the lists of instances and endpoints.
 #[derive(Clone, Debug)]
 pub struct Listeners {
     /// For callers.
     pub callers: Option<SocketAddr>,
-    /// For questions whether it takes callers.
+    /// For readiness checks.
     pub ready: Option<SocketAddr>,
     /// For operators and endpoints.
     pub operators: Option<SocketAddr>,
-    /// For callers who ask which instances to use.
+    /// For callers that query the instances to use.
     pub directory: Option<SocketAddr>,
-    /// For other instances; its text is the instance's name.
+    /// For other instances; the address is also the instance's name.
     pub peers: SocketAddr,
-    /// For metrics, where they are wanted.
+    /// For metrics.
     pub metrics: Option<SocketAddr>,
 }
 
 impl Listeners {
-    /// The listeners that are not for callers' requests, each address once: one address may serve several.
+    /// The distinct addresses of the listeners for readiness, operators and the directory, which may share one.
     pub fn control(&self) -> BTreeSet<SocketAddr> {
         [self.ready, self.operators, self.directory].into_iter().flatten().collect()
     }
 }
 
-/// Duties that one instance at a time holds for all, and whom its calls go to.
+/// Duties that one instance at a time holds for all, and the receiver of its calls.
 #[derive(Clone, Debug)]
 pub struct Duties {
-    /// Name under which this instance makes calls.
+    /// Name of this instance in its calls.
     pub holder: String,
-    /// Who takes the calls.
+    /// Address of the receiver.
     pub receiver: SocketAddr,
-    /// What the reducer needs of it.
+    /// Options for the reducer.
     pub core: DutyOptions,
 }
 
-/// Settings of one instance.
+/// Options of an instance.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Where it listens.
+    /// The addresses at which it listens.
     pub listeners: Listeners,
     /// Its hall.
     pub hall: HallId,
-    /// The region of each hall of the deployment, where the settings tell it.
+    /// The region of each hall of the deployment, as far as configured.
     pub regions: BTreeMap<HallId, RegionId>,
-    /// Instances to start from: their addresses for other instances.
+    /// Seed instances, by their addresses for other instances.
     pub seeds: Vec<InstanceId>,
-    /// The system starts for the first time, so the seeds found the log.
+    /// The system starts for the first time, so the seeds create the log.
     pub bootstrap: bool,
-    /// The data folder, where there is a disk.
+    /// The data folder, if there is a disk.
     pub data: Option<PathBuf>,
-    /// Voters wanted.
+    /// Target number of voters.
     pub voters: usize,
-    /// No keyed request starts without proof of the configuration this young.
+    /// Largest age of the proof of the configuration with which requests are sent.
     pub max_proof_age: Duration,
-    /// A request is told that its route or key does not exist only with proof this young.
+    /// Largest age of the proof with which a request is refused because its route or key does not exist.
     pub max_denial_proof_age: Duration,
-    /// How long callers may keep the list of entries.
+    /// How long callers may cache the list of entries.
     pub entries_ttl: Duration,
-    /// Callers may keep it this many times as long.
+    /// Callers may exceed `entries_ttl` by up to this factor.
     pub entries_ttl_factor: u32,
-    /// From the signal to stop to the kill.
+    /// Grace period from the stop signal to the kill.
     pub grace: Duration,
-    /// Requests sent again, as a share of the requests.
+    /// Retry budget as a share of the requests.
     pub retry_ratio: f64,
-    /// Time over which that share counts.
+    /// Time window of the retry budget.
     pub retry_window: Duration,
-    /// Requests sent again beyond the share, in one window, over all instances.
+    /// Retries per window beyond the share, over all instances.
     pub retry_extra: u32,
-    /// A request refused because its endpoints are full is told to come back after this.
+    /// `Retry-After` of a request that was refused because its endpoints are full.
     pub retry_after: Duration,
-    /// A request refused because this instance lacks proof of the configuration is told to come back
-    /// after this: about the time that an election takes.
+    /// `Retry-After` of a request that was refused for lack of a proof of the configuration: about the time of an election.
     pub recovery_retry_after: Duration,
-    /// Time from a start until the configuration is proved where all instances start at once: an election and
-    /// the spread of the configuration.
+    /// Time until the configuration is proved when all instances start at once: an election and the distribution of the
+    /// configuration.
     pub startup_time: Duration,
-    /// Time between an endpoint's heartbeats.
+    /// Interval of endpoints' heartbeats.
     pub heartbeat: Duration,
-    /// Time between questions for news.
+    /// Interval at which the view is polled for updates.
     pub poll_interval: Duration,
-    /// Lines logged in a second at most.
+    /// Largest number of log lines per second and thread.
     pub log_lines: u32,
-    /// Bytes of memory that the process may take, where the settings tell it.
+    /// Memory limit of the process in bytes, if configured.
     pub memory: Option<usize>,
-    /// Duties, where there are any.
+    /// Duties, if any.
     pub duties: Option<Duties>,
-    /// Settings of the decisions.
+    /// Policy of routing decisions.
     pub policy: Policy,
 }
 
 impl Options {
-    /// The usual settings for the given place.
+    /// Default options for the given listeners and hall.
     pub fn new(listeners: Listeners, hall: HallId) -> Options {
         Options {
             listeners,
@@ -134,7 +133,7 @@
         }
     }
 
-    /// Its name among the instances: where others reach it.
+    /// The instance's name: its address for other instances.
     pub fn name(&self) -> InstanceId {
         InstanceId::from(self.listeners.peers.to_string())
     }
--- a/crates/rudder-gateway/src/scaling.rs
+++ b/crates/rudder-gateway/src/scaling.rs
@@ -1,4 +1,4 @@
-//! What the holder of duties needs to know of the services whose engines are ordered.
+//! The state of scaled services, for the holder of the scaling duty.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 
 use crate::{Dialect, Service, shared::Shared};
 
-/// All services that the configuration lets be scaled, as they stand now.
+/// Current states of all services with scaling bounds.
 pub fn service_states<D: Dialect>(shared: &Shared<D>) -> Vec<ServiceState> {
     let Some(plan) = shared.current_plan() else { return Vec::new() };
     let scaled = plan.services.values().filter_map(|service| Some((service, service.scaling.as_ref()?)));
@@ -25,7 +25,7 @@
     ServiceState { service: service.name.clone(), bounds: bounds.clone(), demand, halls }
 }
 
-/// Engines that take work, in each hall that the configuration names a price for or that has engines.
+/// Counts the engines that accept work in each hall that has a price or engines.
 fn count_by_hall<'a>(endpoints: impl Iterator<Item = &'a Registration>, bounds: &Bounds) -> Vec<HallEngines> {
     let mut halls: BTreeMap<HallId, (u32, u32)> = bounds.prices.keys().map(|hall| (hall.clone(), (0, 0))).collect();
     for held in endpoints.filter(|held| held.phase <= Phase::Silent) {
