--- a/crates/rudder-gateway/src/metrics.rs
+++ b/crates/rudder-gateway/src/metrics.rs
@@ -1,6 +1,6 @@
-//! Counters, gauges and latency histograms, in the usual text form.
+//! Counters, gauges and latency histograms in the `OpenMetrics` text format.
 //!
-//! Labels are few and bounded: kinds of route, outcomes, and endpoints that are known now.
+//! Label sets are small and bounded: kinds of route, outcomes and the endpoints known now.
 
 use std::{
     cell::RefCell,
@@ -22,34 +22,33 @@
 
 use crate::{Dialect, RouteKind, plan::Route, shared::Shared};
 
-/// Bounds of latencies in seconds; the targets of routes lie between them.
+/// Histogram buckets of latencies in seconds; they cover the targets of routes.
 const LATENCY_BUCKETS: [f64; 12] = [0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.42, 0.8, 1.2, 2.5, 5.0, 15.0];
-/// Bytes of a page, for the figures of the system on memory.
+/// Bytes per page in `/proc/self/statm`.
 const PAGE_SIZE: i64 = 4096;
 
-/// Where the replica of this instance stands; written by the control thread.
+/// Status of the control thread and the replica, written by the control thread and read by the traffic thread.
 #[derive(Debug, Default)]
 pub struct ControlStatus {
-    /// Its term; 0 without a disk.
+    /// The replica's term; 0 without a disk.
     pub term: AtomicU64,
-    /// It leads.
+    /// The replica is the leader.
     pub is_leader: AtomicBool,
-    /// Until when it holds the duties without a further look, in microseconds since the process started; 0 where it
-    /// holds none.
+    /// End of this instance's lease on the duties, in microseconds since the process started; 0 without a lease.
     pub duty_until: AtomicU64,
-    /// Closed windows of usage whose report is not acknowledged.
+    /// Closed usage windows whose report is not acknowledged yet.
     pub unreported_windows: AtomicU64,
-    /// Requests told after their window was closed, in no report.
+    /// Requests reported after their usage window was closed, which no report contains.
     pub late_requests: AtomicU64,
-    /// Requests that began here and that the log does not hold yet.
+    /// Requests begun here that are not yet committed to the log.
     pub unreported_requests: AtomicU64,
-    /// Index up to which its log is committed.
+    /// Commit index of the log.
     pub commit_index: AtomicU64,
-    /// Index of the last entry of its log.
+    /// Index of the last log entry.
     pub last_index: AtomicU64,
-    /// Entries in messages that wait for the traffic thread.
+    /// Message entries queued for the traffic thread.
     pub backlog: AtomicUsize,
-    /// Messages left out as too much waited.
+    /// Messages dropped because the backlog was full.
     pub dropped_messages: AtomicU64,
 }
 
@@ -81,12 +80,12 @@
     outcome: &'static str,
 }
 
-/// What the holder of an endpoint's rate limit answered.
+/// The answer of the holder of an endpoint's rate limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PermitOutcome {
-    /// It may be sent.
+    /// The request may be sent.
     Granted,
-    /// It may not, or the holder did not answer.
+    /// The request may not be sent, or the holder did not answer.
     Denied,
 }
 
@@ -101,18 +100,18 @@
     message: &'static str,
 }
 
-/// What became of a frame between instances.
+/// The outcome of a frame between instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FrameOutcome {
-    /// Handed to its link.
+    /// Queued on its link.
     Sent,
-    /// Taken in.
+    /// Received and passed to the reducer.
     Received,
-    /// Dropped, as too much waited already.
+    /// Dropped because a queue was full.
     Dropped,
 }
 
-/// Messages and bytes between instances, by kind of message.
+/// Metrics of messages between instances, by kind of message.
 #[derive(Clone, Debug, Default)]
 pub struct PeerMetrics {
     frames: Family<PeerLabels, Counter>,
@@ -122,7 +121,7 @@
 }
 
 impl PeerMetrics {
-    /// Counts a frame of `size` bytes that carried a message of the kind `message`.
+    /// Counts a frame of `size` bytes that carries a message of the kind `message`.
     pub fn record(&self, frame: FrameOutcome, message: &'static str, size: usize) {
         let fate = match frame {
             FrameOutcome::Sent => "sent",
@@ -134,7 +133,7 @@
         self.bytes.get_or_create(&label).inc_by(size as u64);
     }
 
-    /// Records how many bytes wait for links, and the most that ever did.
+    /// Sets the number of bytes queued for links and its peak.
     pub fn record_queued(&self, bytes: usize, peak: usize) {
         self.queued.set((bytes as u64).cast_signed());
         self.peak.set((peak as u64).cast_signed());
@@ -148,20 +147,20 @@
     }
 }
 
-/// How a request ended, for its callers.
+/// The outcome of a request for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// Answered whole.
+    /// Answered completely.
     Answered,
     /// Refused or failed by the instance itself.
     Refused,
-    /// Broken off on the way.
+    /// Interrupted after the answer had begun.
     Interrupted,
-    /// Its caller left.
+    /// The caller disconnected.
     CallerLeft,
 }
 
-/// All figures of one instance.
+/// All metrics of an instance.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
@@ -181,7 +180,7 @@
     first_byte: Family<KindLabel, Histogram>,
     total: Family<KindLabel, Histogram>,
     pauses: Histogram,
-    /// Messages between instances.
+    /// Metrics of messages between instances.
     pub peers: PeerMetrics,
     state: RefCell<Gauges>,
 }
@@ -242,7 +241,7 @@
     }
 }
 
-/// The label of a route's kind.
+/// Label value of a route's kind.
 fn kind_label(route: &Route) -> &'static str {
     match route.kind {
         RouteKind::Repeatable => "repeatable",
@@ -322,7 +321,7 @@
         registry.register("endpoint_unread_tokens", "Prompt tokens unread at an endpoint", state.unread.clone());
     }
 
-    /// Counts the end of a request; `route` is known once its place was found.
+    /// Counts the end of a request; `route` is `None` if it ended before its route was known.
     pub fn record_end(&self, route: Option<&Route>, ending: RequestOutcome, took: Duration) {
         let kind = route.map_or("none", kind_label);
         let outcome = match ending {
@@ -338,12 +337,12 @@
         }
     }
 
-    /// Counts a final answer of the instance itself.
+    /// Counts an error answer of the instance itself.
     pub fn record_refusal(&self, why: &'static str) {
         self.refusals.get_or_create(&ReasonLabel { why }).inc();
     }
 
-    /// Counts a request sent to an endpoint, the first time or again.
+    /// Counts an attempt; `again` marks a retry.
     pub fn record_attempt(&self, again: bool) {
         self.attempts.inc();
         if again {
@@ -351,27 +350,27 @@
         }
     }
 
-    /// Counts a stream taken up at another endpoint.
+    /// Counts a stream resumed at another endpoint.
     pub fn record_resume(&self) {
         self.resumes.inc();
     }
 
-    /// Counts an endpoint left out.
+    /// Counts an ejected endpoint.
     pub fn record_ejection(&self) {
         self.ejections.inc();
     }
 
-    /// Counts an answer in which an endpoint asked to be sent nothing for a while.
+    /// Counts an answer in which an endpoint asked for a backoff.
     pub fn record_backoff(&self) {
         self.backoffs.inc();
     }
 
-    /// Counts a change of the rate limit that an endpoint names.
+    /// Counts a change of the rate limit that an endpoint reports.
     pub fn record_limit_change(&self) {
         self.limit_changes.inc();
     }
 
-    /// Counts the answer to a request for an endpoint with a rate limit.
+    /// Counts an answer of the holder of a rate limit.
     pub fn record_permit(&self, outcome: PermitOutcome) {
         let outcome = match outcome {
             PermitOutcome::Granted => "granted",
@@ -380,37 +379,37 @@
         self.permits.get_or_create(&PermitLabel { outcome }).inc();
     }
 
-    /// Sets how many endpoints have a rate limit.
+    /// Sets the number of endpoints with a rate limit.
     pub fn set_limited(&self, endpoints: usize) {
         self.state.borrow().limited.set((endpoints as u64).cast_signed());
     }
 
-    /// Counts a request under which its endpoint ended.
+    /// Counts a request whose endpoint terminated while serving it.
     pub fn record_ended_under(&self) {
         self.ended_under.inc();
     }
 
-    /// Counts something that an endpoint, or another writer in its name, said and that was not taken in.
+    /// Counts a rejected report of an endpoint.
     pub fn record_refused_report(&self, why: &'static str) {
         self.refused_reports.get_or_create(&ReasonLabel { why }).inc();
     }
 
-    /// Sets how many contents are refused because endpoints ended under them.
+    /// Sets the number of contents in quarantine.
     pub fn set_quarantined(&self, contents: usize) {
         self.state.borrow().quarantined.set((contents as u64).cast_signed());
     }
 
-    /// Counts a request that its endpoint could not be sent any more.
+    /// Counts a request whose chosen endpoint no longer accepted requests.
     pub fn record_held_back(&self) {
         self.held_back.inc();
     }
 
-    /// Sets how many halls are evacuated.
+    /// Sets the number of evacuated halls.
     pub fn set_evacuated(&self, halls: usize) {
         self.state.borrow().evacuated.set((halls as u64).cast_signed());
     }
 
-    /// Counts a call that only the holder of a duty makes.
+    /// Counts a call of the holder of a duty.
     pub fn record_duty(&self, duty: &'static str, outcome: CallOutcome) {
         let outcome = match outcome {
             CallOutcome::Taken => "taken",
@@ -428,16 +427,16 @@
         self.first_byte.get_or_create(&KindLabel { kind: kind_label(route) }).observe(after.as_secs_f64());
     }
 
-    /// Records the time between two parts of a stream.
+    /// Records the pause between two parts of a stream.
     pub fn record_pause(&self, pause: Duration) {
         self.pauses.observe(pause.as_secs_f64());
     }
 
-    /// All figures as text.
+    /// Encodes all metrics as text.
     pub fn to_text<D: Dialect>(&self, shared: &Shared<D>) -> String {
         self.set_gauges(shared);
         let mut text = String::new();
-        // Writing to a string cannot fail.
+        // Formatting into a string cannot fail.
         let _ = encode(&mut text, &self.registry);
         text
     }
@@ -479,7 +478,7 @@
     }
 }
 
-/// Resident memory in bytes, where the system tells it.
+/// Resident memory of the process in bytes, if the system reports it.
 fn resident_bytes() -> Option<i64> {
     let text = std::fs::read_to_string("/proc/self/statm").ok()?;
     let pages: i64 = text.split_whitespace().nth(1)?.parse().ok()?;
@@ -490,12 +489,12 @@
 #[derive(Debug, Default)]
 pub struct PauseMeter {
     before: Option<Moment>,
-    /// The longest so far.
+    /// The longest pause so far.
     pub longest: Duration,
 }
 
 impl PauseMeter {
-    /// Records a part; returns the pause before it, but for the first.
+    /// Records a part and returns the pause before it; `None` for the first part.
     pub fn record(&mut self, now: Moment) -> Option<Duration> {
         let before = self.before.replace(now)?;
         let pause = now.saturating_duration_since(before);
--- a/crates/rudder-gateway/src/operate.rs
+++ b/crates/rudder-gateway/src/operate.rs
@@ -1,4 +1,4 @@
-//! The other listeners: readiness, entries, configuration documents, heartbeats.
+//! Operations at the control listeners: readiness, entries, configuration documents, heartbeats and evacuations.
 
 use std::{rc::Rc, sync::Arc, time::Duration};
 
@@ -19,24 +19,24 @@
     shared::{Reply, Shared},
 };
 
-/// Path of the figures.
+/// Path of the metrics.
 const METRICS_PATH: &str = "/metrics";
-/// Form of the figures.
+/// Content type of the metrics.
 const METRICS_CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
-/// Largest configuration document.
+/// Largest configuration document in bytes.
 const MAX_DOCUMENT_BYTES: usize = 4 << 20;
-/// Largest heartbeat.
+/// Largest heartbeat in bytes.
 const MAX_HEARTBEAT_BYTES: usize = 64 << 10;
-/// Characters of a refused endpoint's name that are logged.
+/// Characters of a rejected report's endpoint name that are logged.
 const MAX_LOGGED_NAME: usize = 64;
-/// A reader of the configuration waits this long for proof that it is the newest.
+/// How long a read of the configuration waits for a proof that it is the newest.
 const READ_PROOF_TIMEOUT: Duration = Duration::from_millis(850);
-/// An operator waits this long for the log to decide.
+/// How long an operator's change waits to be committed.
 const DECISION_TIMEOUT: Duration = Duration::from_millis(2600);
-/// An endpoint waits this long for its heartbeat to be taken in.
+/// How long a heartbeat waits to be accepted.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// Serves the figures of the instance.
+/// Serves the metrics of the instance.
 pub fn metrics<D: Dialect>(shared: &Shared<D>, path: &str) -> Response<AnswerBody> {
     if path != METRICS_PATH {
         return empty(StatusCode::NOT_FOUND);
@@ -46,7 +46,7 @@
     response
 }
 
-/// Serves one request.
+/// Serves a request at a control listener.
 pub async fn handle<D: Dialect>(
     shared: Rc<Shared<D>>,
     request: Request<Incoming>,
@@ -109,7 +109,7 @@
     }
 }
 
-/// Answers with the document only when it is proved the newest as of this request.
+/// Returns the document once it is proved to be the newest as of this request.
 async fn read<D: Dialect>(shared: &Shared<D>, arrived: Moment) -> Response<AnswerBody> {
     if !shared.wait_for_proof(arrived, READ_PROOF_TIMEOUT).await {
         return error_response(StatusCode::SERVICE_UNAVAILABLE, "the newest configuration is not known here");
@@ -121,7 +121,7 @@
     }
 }
 
-/// Evacuates a hall, or takes that back.
+/// Begins or ends the evacuation of a hall.
 async fn evacuate<D: Dialect>(shared: &Shared<D>, hall: HallId, begins: bool) -> Response<AnswerBody> {
     if !shared.places.borrow().knows(&hall) {
         return error_response(StatusCode::NOT_FOUND, "there is no such hall");
@@ -151,8 +151,8 @@
     }
 }
 
-/// Checks a heartbeat against what is known: it cannot take a known endpoint to a service that the configuration does not
-/// name, nor leave out a start that the endpoint is known to tell.
+/// Validates a heartbeat against the known endpoint of its name: it must not move the endpoint to a service that the
+/// configuration does not name, nor omit a start time that earlier heartbeats named.
 fn check_registration<D: Dialect>(shared: &Shared<D>, reported: Registration) -> Result<Registration, ReportError> {
     let view = shared.view.borrow();
     let held = view.endpoints.iter().find(|held| held.name() == reported.name() && held.phase < Phase::Gone);
@@ -168,7 +168,7 @@
     Ok(reported)
 }
 
-/// Records that an endpoint ends: the life that it names, or the latest one known where it names none.
+/// Deregisters an endpoint: the life that the request names, or the latest known one if it names none.
 async fn leave<D: Dialect>(shared: &Shared<D>, name: &str, body: Incoming) -> Response<AnswerBody> {
     let Ok(body) = Limited::new(body, MAX_HEARTBEAT_BYTES).collect().await else {
         return refuse_report(shared, name, &ReportError::TooLarge);
@@ -182,7 +182,7 @@
         held.name() == name && held.phase != Phase::Replaced && born.is_none_or(|born| held.born == Some(born))
     };
     let held = view.endpoints.iter().find(is_meant);
-    // One that is unknown here may be known to another instance.
+    // An endpoint that is unknown here may be known to another instance.
     let registration = held.map_or_else(
         || Registration::end_of(name, born, shared.options.hall.clone()),
         |held| Registration { phase: Phase::Gone, ..Registration::clone(held) },
@@ -190,15 +190,15 @@
     register(shared, registration).await
 }
 
-/// Refuses what an endpoint, or another writer in its name, said; what is known of the endpoint stands.
+/// Rejects a report in an endpoint's name; the known state of the endpoint is unchanged.
 fn refuse_report<D: Dialect>(shared: &Shared<D>, name: &str, error: &ReportError) -> Response<AnswerBody> {
     shared.metrics.record_refused_report(error.reason());
-    shared.log.write(What::WordRefused { endpoint: shorten(name), why: error.to_string() });
+    shared.log.write(What::WordRefused { endpoint: truncate_name(name), why: error.to_string() });
     error_response(StatusCode::BAD_REQUEST, &error.to_string())
 }
 
-/// A name as far as it is logged: whoever wrote it chose its length.
-fn shorten(name: &str) -> String {
+/// Truncates a name for the log, as its length is up to the sender.
+fn truncate_name(name: &str) -> String {
     name.chars().take(MAX_LOGGED_NAME).collect()
 }
 
