--- a/crates/rudder-gateway/src/logging.rs
+++ b/crates/rudder-gateway/src/logging.rs
@@ -1,8 +1,8 @@
-//! The log: one JSON object a line on standard output, bounded and never waited for.
+//! The log: one JSON object per line on standard output, rate-limited and non-blocking.
 //!
-//! A budget of lines a second leaves out routine lines first; lines on failures, refusals and changes of
-//! state have a reserve. A writer thread takes lines from a bounded queue, so a full pipe or a reader
-//! that has stopped costs lines, never time. What was left out is counted and said once a second.
+//! A budget of lines per second drops routine lines first; failures, refusals and state changes have a reserve. A thread
+//! writes the lines from a bounded queue, so a full pipe drops lines but never blocks. Dropped lines are counted, and the
+//! count is logged once a second.
 
 use std::{
     cell::Cell,
@@ -20,14 +20,14 @@
 use rudder_events::{Line, What};
 use rudder_model::InstanceId;
 
-/// Lines that wait to be written.
+/// Capacity of the queue in lines.
 const QUEUE_LINES: usize = 256;
-/// Lines are written together this often.
+/// Time over which lines are gathered into one write.
 const WRITE_INTERVAL: Duration = Duration::from_millis(50);
-/// Part of the budget that routine lines may use.
+/// Share of the budget that routine lines may use.
 const ROUTINE_SHARE: f64 = 0.6;
 
-/// Where lines go; every thread has its own with a budget of its own.
+/// Writes log lines; each thread has its own, with its own budget.
 #[derive(Debug)]
 pub struct Log {
     instance: InstanceId,
@@ -40,13 +40,13 @@
     blocked: Arc<AtomicU64>,
 }
 
-/// True for lines that are left out first.
+/// Returns true for lines that are dropped first.
 pub fn is_routine(what: &What) -> bool {
     matches!(what, What::CallTaken { .. } | What::CallSent { .. } | What::CallAnswered { .. } | What::Left { .. })
 }
 
 impl Log {
-    /// A log of `budget` lines a second that writes to `writer` on a thread of its own.
+    /// Starts a log of `budget` lines per second, with a thread that writes to `writer`.
     pub fn start(instance: InstanceId, budget: u32, writer: impl Write + Send + 'static) -> Log {
         let (lines, receiver) = bounded(QUEUE_LINES);
         thread::spawn(move || run(writer, &receiver));
@@ -62,7 +62,7 @@
         }
     }
 
-    /// The same log for another thread.
+    /// Creates a log for another thread, with the same writer and its own budget.
     #[must_use]
     pub fn fork(&self) -> Log {
         Log {
@@ -77,12 +77,12 @@
         }
     }
 
-    /// Lines left out by this thread's budget in this second, and blocked since the last said.
+    /// Lines dropped since the last report: by this thread's budget, and by a full queue.
     pub fn dropped(&self) -> (u64, u64) {
         (self.over_budget.get(), self.blocked.load(Ordering::Relaxed))
     }
 
-    /// Writes a line, or counts it as left out.
+    /// Writes a line, or drops and counts it.
     pub fn write(&self, what: What) {
         let uptime = self.started.elapsed();
         self.start_second(uptime);
@@ -126,7 +126,7 @@
                 bytes.push(b'\n');
             }
         }
-        // Nobody may read any more; there is nowhere left to say so.
+        // Standard output may be closed, and there is nowhere else to report that.
         let _ = writer.write_all(&bytes).and_then(|()| writer.flush());
     }
 }
--- a/crates/rudder-gateway/tests/logging.rs
+++ b/crates/rudder-gateway/tests/logging.rs
@@ -1,4 +1,4 @@
-//! The log: bounded by a budget, never waited for, and honest about what it left out.
+//! The log: it keeps to its budget, never blocks, and reports the lines that it dropped.
 
 use std::{
     io::{Error, Write},
@@ -13,9 +13,9 @@
 use rudder_model::Ran;
 
 #[derive(Clone, Default)]
-struct Memory(Arc<Mutex<Vec<u8>>>);
+struct Buffer(Arc<Mutex<Vec<u8>>>);
 
-impl Memory {
+impl Buffer {
     fn lines(&self) -> Vec<Line> {
         let bytes = self.0.lock().unwrap().clone();
         let text = String::from_utf8(bytes).expect("lines are text");
@@ -23,7 +23,7 @@
     }
 }
 
-impl Write for Memory {
+impl Write for Buffer {
     fn write(&mut self, bytes: &[u8]) -> Result<usize, Error> {
         self.0.lock().unwrap().extend_from_slice(bytes);
         Ok(bytes.len())
@@ -34,7 +34,7 @@
     }
 }
 
-/// A reader that has stopped reading: the pipe is full and a write does not return.
+/// A writer whose pipe is full, so that a write never returns.
 struct Blocked;
 
 impl Write for Blocked {
@@ -72,9 +72,9 @@
 }
 
 #[test]
-fn routine_lines_are_left_out_first_and_failures_keep_a_reserve() {
-    let memory = Memory::default();
-    let log = Log::start("i".into(), 100, memory.clone());
+fn routine_lines_are_dropped_first_and_failures_have_a_reserve() {
+    let buffer = Buffer::default();
+    let log = Log::start("i".into(), 100, buffer.clone());
     for number in 0..500 {
         log.write(routine(number));
     }
@@ -83,30 +83,30 @@
     }
     assert_eq!(log.dropped().0, 900);
     thread::sleep(Duration::from_millis(300));
-    let lines = memory.lines();
+    let lines = buffer.lines();
     let refused = lines.iter().filter(|line| matches!(line.what, What::CallRefused { .. })).count();
     assert_eq!((lines.len(), refused), (100, 40));
 }
 
 #[test]
-fn what_was_left_out_is_said_in_the_next_second() {
-    let memory = Memory::default();
-    let log = Log::start("i".into(), 10, memory.clone());
+fn dropped_lines_are_reported_in_the_next_second() {
+    let buffer = Buffer::default();
+    let log = Log::start("i".into(), 10, buffer.clone());
     for number in 0..50 {
         log.write(refusal(number));
     }
     thread::sleep(Duration::from_millis(1100));
     log.write(refusal(99));
     thread::sleep(Duration::from_millis(300));
-    let said = memory.lines().into_iter().find_map(|line| match line.what {
+    let reported = buffer.lines().into_iter().find_map(|line| match line.what {
         What::Dropped { budget, .. } => Some(budget),
         _ => None,
     });
-    assert_eq!(said, Some(40));
+    assert_eq!(reported, Some(40));
 }
 
 #[test]
-fn a_reader_that_stopped_costs_lines_and_no_time() {
+fn a_blocked_writer_drops_lines_without_delay() {
     let log = Log::start("i".into(), 1_000_000, Blocked);
     let began = Moment::now();
     for number in 0..20_000 {
