--- a/crates/rudder-gateway/tests/support/mod.rs
+++ b/crates/rudder-gateway/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What a choice rests on, as tests and benchmarks set it.
+//! Inputs of endpoint choices for tests and benchmarks.
 #![allow(dead_code, reason = "each test program uses some of it")]
 
 use std::{sync::Arc, time::Duration};
@@ -11,7 +11,7 @@
 };
 use rudder_model::HallId;
 
-/// A ready endpoint of the service `svc` with 64 slots, alone at its address.
+/// A ready endpoint of the service `svc` with 64 slots and an address of its own.
 pub fn endpoint(number: usize, hall: &str) -> Registration {
     Registration {
         endpoint: format!("e-{number}").into(),
@@ -33,7 +33,7 @@
     Roster::new(endpoints.iter().cloned().map(Arc::new))
 }
 
-/// All that an instance knows when it chooses; nothing of endpoints where nothing is set.
+/// The state from which an instance chooses an endpoint; empty by default.
 pub struct Known {
     pub balance: Balance,
     pub work_age: Duration,
@@ -70,7 +70,7 @@
 }
 
 impl Known {
-    /// What a choice rests on.
+    /// The inputs of a choice.
     pub fn inputs(&self) -> Inputs<'_> {
         Inputs {
             balance: &self.balance,
