--- a/crates/rudder-gateway/src/dialect.rs
+++ b/crates/rudder-gateway/src/dialect.rs
@@ -192,17 +192,17 @@
     /// List the instances that a caller should use.
     Entries(EntriesQuery),
     /// Replace the configuration document.
-    Replace,
+    ReplaceDocument,
     /// Read the configuration document.
-    Read,
+    ReadDocument,
     /// Accept a heartbeat of this endpoint.
     Heartbeat(String),
     /// Deregister this endpoint.
-    Leave(String),
+    Deregister(String),
     /// Evacuate this hall: send no more requests to its endpoints.
     Evacuate(String),
     /// End the evacuation of this hall.
-    Return(String),
+    EndEvacuation(String),
     /// Not a known operation.
     Unknown,
 }
--- a/crates/rudder-gateway/src/operate.rs
+++ b/crates/rudder-gateway/src/operate.rs
@@ -55,12 +55,12 @@
     match shared.dialect.read_operation(request.method(), request.uri()) {
         Operation::Ready => empty(if shared.is_ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }),
         Operation::Entries(query) => entries(&shared, &query),
-        Operation::Replace => replace(&shared, request.into_body()).await,
-        Operation::Read => read(&shared, arrived).await,
+        Operation::ReplaceDocument => replace(&shared, request.into_body()).await,
+        Operation::ReadDocument => read(&shared, arrived).await,
         Operation::Heartbeat(endpoint) => heartbeat(&shared, &endpoint, request.into_body()).await,
-        Operation::Leave(endpoint) => leave(&shared, &endpoint, request.into_body()).await,
+        Operation::Deregister(endpoint) => leave(&shared, &endpoint, request.into_body()).await,
         Operation::Evacuate(hall) => evacuate(&shared, hall.into(), true).await,
-        Operation::Return(hall) => evacuate(&shared, hall.into(), false).await,
+        Operation::EndEvacuation(hall) => evacuate(&shared, hall.into(), false).await,
         Operation::Unknown => empty(StatusCode::NOT_FOUND),
     }
 }
