--- a/crates/rudder-gateway/src/metrics.rs
+++ b/crates/rudder-gateway/src/metrics.rs
@@ -140,10 +140,18 @@
     }
 
     fn register(&self, registry: &mut Registry) {
-        registry.register("peer_frames", "Frames between instances, by fate and message", self.frames.clone());
-        registry.register("peer_bytes", "Bytes between instances, by fate and message", self.bytes.clone());
-        registry.register("peer_waiting_bytes", "Bytes that wait for links to instances", self.queued.clone());
-        registry.register("peer_waiting_most_bytes", "Most bytes that ever waited so", self.peak.clone());
+        registry.register(
+            "peer_frames",
+            "Frames between instances, by outcome and kind of message",
+            self.frames.clone(),
+        );
+        registry.register("peer_bytes", "Bytes between instances, by outcome and kind of message", self.bytes.clone());
+        registry.register("peer_waiting_bytes", "Bytes queued for links to instances", self.queued.clone());
+        registry.register(
+            "peer_waiting_most_bytes",
+            "Peak of the bytes queued for links to instances",
+            self.peak.clone(),
+        );
     }
 }
 
@@ -187,29 +195,29 @@
 
 #[derive(Debug, Default)]
 struct Gauges {
-    open: Gauge,
-    idle: Gauge,
+    open_requests: Gauge,
+    idle_connections: Gauge,
     ready: Gauge,
-    version: Gauge,
-    proof: Gauge,
+    document_version: Gauge,
+    proof_age: Gauge,
     term: Gauge,
-    leads: Gauge,
-    lag: Gauge,
-    holds: Gauge,
-    windows: Gauge,
-    late: Gauge,
-    left_out: Gauge,
+    is_leader: Gauge,
+    commit_lag: Gauge,
+    holds_duties: Gauge,
+    unreported_windows: Gauge,
+    late_requests: Gauge,
+    dropped_messages: Gauge,
     instances: Gauge,
-    memory: Gauge,
-    dropped: Gauge,
-    quarantined: Gauge,
-    evacuated: Gauge,
-    limited: Gauge,
-    held: Gauge,
+    resident_bytes: Gauge,
+    dropped_lines: Gauge,
+    quarantined_contents: Gauge,
+    evacuated_halls: Gauge,
+    limited_endpoints: Gauge,
+    held_bytes: Gauge,
     held_peak: Gauge,
-    held_most: Gauge,
-    calls: Family<EndpointLabel, Gauge>,
-    unread: Family<EndpointLabel, Gauge>,
+    held_limit: Gauge,
+    endpoint_calls: Family<EndpointLabel, Gauge>,
+    unread_tokens: Family<EndpointLabel, Gauge>,
 }
 
 impl Default for Metrics {
@@ -254,71 +262,71 @@
     fn register(&mut self) {
         let registry = &mut self.registry;
         registry.register("requests", "Requests by kind, tier and outcome", self.requests.clone());
-        registry.register("refusals", "Final answers of the instance itself, by reason", self.refusals.clone());
+        registry.register("refusals", "Error answers of the instance itself, by reason", self.refusals.clone());
         registry.register("attempts", "Requests sent to endpoints", self.attempts.clone());
-        registry.register("retries", "Requests sent to endpoints again", self.retries.clone());
-        registry.register("resumes", "Streams taken up at another endpoint", self.resumes.clone());
-        registry.register("ejections", "Endpoints left out for a while", self.ejections.clone());
+        registry.register("retries", "Requests sent to endpoints as retries", self.retries.clone());
+        registry.register("resumes", "Streams resumed at another endpoint", self.resumes.clone());
+        registry.register("ejections", "Ejections of endpoints", self.ejections.clone());
+        registry.register("rests", "Answers in which endpoints asked for a backoff", self.backoffs.clone());
         registry.register(
-            "rests",
-            "Answers of endpoints that asked to be sent nothing for a while",
-            self.backoffs.clone(),
+            "limits_named",
+            "Changes of the rate limits that endpoints report",
+            self.limit_changes.clone(),
         );
-        registry.register("limits_named", "Changes of rate limits that endpoints name", self.limit_changes.clone());
+        registry.register("permits", "Answers to requests for permits, by outcome", self.permits.clone());
         registry.register(
-            "permits",
-            "Answers to requests for endpoints with a rate limit, by outcome",
-            self.permits.clone(),
+            "ended_under",
+            "Requests whose endpoint terminated while serving them",
+            self.ended_under.clone(),
         );
-        registry.register("ended_under", "Requests under which their endpoint ended", self.ended_under.clone());
-        let help = "Requests that a choice took to an endpoint which took no more: it warms up, rests, leaves, or its hall is evacuated";
+        let help = "Requests whose chosen endpoint no longer accepted requests, by warm-up, backoff, rate limit, departure or evacuation";
         registry.register("held_back", help, self.held_back.clone());
-        registry.register(
-            "refused_words",
-            "What endpoints said and was not taken in, by reason",
-            self.refused_reports.clone(),
-        );
+        registry.register("refused_words", "Rejected reports of endpoints, by reason", self.refused_reports.clone());
         registry.register("duty_calls", "Calls of the holder of a duty, by duty and outcome", self.duties.clone());
         let seconds = Unit::Seconds;
         registry.register_with_unit(
             "first",
-            "From arrival to the first byte",
+            "Time from arrival to the first byte",
             seconds.clone(),
             self.first_byte.clone(),
         );
-        registry.register_with_unit("total", "From arrival to the end", seconds.clone(), self.total.clone());
-        registry.register_with_unit("pause", "Between parts of a stream", seconds, self.pauses.clone());
+        registry.register_with_unit("total", "Time from arrival to the end", seconds.clone(), self.total.clone());
+        registry.register_with_unit("pause", "Time between parts of a stream", seconds, self.pauses.clone());
         self.peers.register(registry);
         let state = self.state.borrow();
-        registry.register("open_requests", "Requests under way", state.open.clone());
-        registry.register("idle_connections", "Idle connections to endpoints", state.idle.clone());
-        registry.register("ready", "Takes callers", state.ready.clone());
-        registry.register("document_version", "Version of the configuration in force", state.version.clone());
+        registry.register("open_requests", "Open requests", state.open_requests.clone());
+        registry.register("idle_connections", "Idle connections to endpoints", state.idle_connections.clone());
+        registry.register("ready", "Whether the instance serves callers", state.ready.clone());
+        registry.register("document_version", "Version of the configuration in force", state.document_version.clone());
         let help = "Age of the proof that the configuration is the newest, in ms; -1 for none";
-        registry.register("proof_age_milliseconds", help, state.proof.clone());
+        registry.register("proof_age_milliseconds", help, state.proof_age.clone());
         registry.register("term", "Term of the replicated log; 0 without a disk", state.term.clone());
-        registry.register("leads", "Leads the replicated log", state.leads.clone());
-        registry.register("commit_lag", "Entries not known as committed", state.lag.clone());
-        registry.register("holds_duties", "Makes the calls that one instance makes for all", state.holds.clone());
-        let help = "Closed windows of usage whose report is not acknowledged; known where there is a disk";
-        registry.register("usage_windows_waiting", help, state.windows.clone());
-        let help = "Requests told after their window was closed; known where there is a disk";
-        registry.register("usage_late_requests", help, state.late.clone());
-        let help = "Messages to instances left out as too much waited for the traffic thread";
-        registry.register("peer_left_out_messages", help, state.left_out.clone());
+        registry.register("leads", "Whether the instance leads the replicated log", state.is_leader.clone());
+        registry.register("commit_lag", "Log entries not known to be committed", state.commit_lag.clone());
+        registry.register("holds_duties", "Whether the instance holds the duties", state.holds_duties.clone());
+        let help = "Closed usage windows whose report is not acknowledged; only with a disk";
+        registry.register("usage_windows_waiting", help, state.unreported_windows.clone());
+        let help = "Requests reported after their usage window was closed; only with a disk";
+        registry.register("usage_late_requests", help, state.late_requests.clone());
+        let help = "Messages to instances dropped because the backlog of the traffic thread was full";
+        registry.register("peer_left_out_messages", help, state.dropped_messages.clone());
         registry.register("instances", "Live instances known", state.instances.clone());
-        registry.register("resident_bytes", "Memory of the process", state.memory.clone());
-        registry.register("log_lines_left_out", "Log lines left out in the last second", state.dropped.clone());
-        let help = "Contents refused because endpoints ended under them";
-        registry.register("quarantined_contents", help, state.quarantined.clone());
-        let help = "Bytes of bodies held for callers and endpoints that have not taken them";
-        registry.register("held_bytes", help, state.held.clone());
-        registry.register("held_peak_bytes", "Most bytes that were ever held so", state.held_peak.clone());
-        registry.register("held_most_bytes", "Bytes that may be held so", state.held_most.clone());
-        registry.register("limited_endpoints", "Endpoints that have a rate limit", state.limited.clone());
-        registry.register("evacuated_halls", "Halls whose endpoints get nothing", state.evacuated.clone());
-        registry.register("endpoint_calls", "Requests known to be at an endpoint", state.calls.clone());
-        registry.register("endpoint_unread_tokens", "Prompt tokens unread at an endpoint", state.unread.clone());
+        registry.register("resident_bytes", "Resident memory of the process", state.resident_bytes.clone());
+        registry.register("log_lines_left_out", "Log lines dropped since the last report", state.dropped_lines.clone());
+        let help = "Contents in quarantine";
+        registry.register("quarantined_contents", help, state.quarantined_contents.clone());
+        let help = "Bytes of bodies buffered for callers and endpoints";
+        registry.register("held_bytes", help, state.held_bytes.clone());
+        registry.register("held_peak_bytes", "Peak of the bytes of bodies buffered", state.held_peak.clone());
+        registry.register("held_most_bytes", "Limit of the bytes of bodies buffered", state.held_limit.clone());
+        registry.register("limited_endpoints", "Endpoints that have a rate limit", state.limited_endpoints.clone());
+        registry.register("evacuated_halls", "Halls that are evacuated", state.evacuated_halls.clone());
+        registry.register(
+            "endpoint_calls",
+            "Requests known to be in flight at an endpoint",
+            state.endpoint_calls.clone(),
+        );
+        registry.register("endpoint_unread_tokens", "Prompt tokens queued at an endpoint", state.unread_tokens.clone());
     }
 
     /// Counts the end of a request; `route` is `None` if it ended before its route was known.
@@ -381,7 +389,7 @@
 
     /// Sets the number of endpoints with a rate limit.
     pub fn set_limited(&self, endpoints: usize) {
-        self.state.borrow().limited.set((endpoints as u64).cast_signed());
+        self.state.borrow().limited_endpoints.set((endpoints as u64).cast_signed());
     }
 
     /// Counts a request whose endpoint terminated while serving it.
@@ -396,7 +404,7 @@
 
     /// Sets the number of contents in quarantine.
     pub fn set_quarantined(&self, contents: usize) {
-        self.state.borrow().quarantined.set((contents as u64).cast_signed());
+        self.state.borrow().quarantined_contents.set((contents as u64).cast_signed());
     }
 
     /// Counts a request whose chosen endpoint no longer accepted requests.
@@ -406,7 +414,7 @@
 
     /// Sets the number of evacuated halls.
     pub fn set_evacuated(&self, halls: usize) {
-        self.state.borrow().evacuated.set((halls as u64).cast_signed());
+        self.state.borrow().evacuated_halls.set((halls as u64).cast_signed());
     }
 
     /// Counts a call of the holder of a duty.
@@ -444,36 +452,36 @@
     fn set_gauges<D: Dialect>(&self, shared: &Shared<D>) {
         let state = self.state.borrow();
         let number = |count: u64| count.cast_signed();
-        state.open.set(number(shared.open_requests.get()));
-        state.idle.set(number(shared.pool.borrow().len() as u64));
+        state.open_requests.set(number(shared.open_requests.get()));
+        state.idle_connections.set(number(shared.pool.borrow().len() as u64));
         state.ready.set(i64::from(shared.is_ready()));
-        state.version.set(number(shared.current_plan().map_or(0, |plan| plan.version)));
-        state.proof.set(shared.proof_age().map_or(-1, |age| number(age.as_millis() as u64)));
+        state.document_version.set(number(shared.current_plan().map_or(0, |plan| plan.version)));
+        state.proof_age.set(shared.proof_age().map_or(-1, |age| number(age.as_millis() as u64)));
         let status: &Arc<ControlStatus> = &shared.status;
         state.term.set(number(status.term.load(Ordering::Relaxed)));
-        state.leads.set(i64::from(status.is_leader.load(Ordering::Relaxed)));
+        state.is_leader.set(i64::from(status.is_leader.load(Ordering::Relaxed)));
         let (last, commit) = (status.last_index.load(Ordering::Relaxed), status.commit_index.load(Ordering::Relaxed));
-        state.lag.set(number(last.saturating_sub(commit)));
-        state.holds.set(i64::from(shared.holds_duties()));
-        state.windows.set(number(status.unreported_windows.load(Ordering::Relaxed)));
-        state.late.set(number(status.late_requests.load(Ordering::Relaxed)));
-        state.left_out.set(number(status.dropped_messages.load(Ordering::Relaxed)));
+        state.commit_lag.set(number(last.saturating_sub(commit)));
+        state.holds_duties.set(i64::from(shared.holds_duties()));
+        state.unreported_windows.set(number(status.unreported_windows.load(Ordering::Relaxed)));
+        state.late_requests.set(number(status.late_requests.load(Ordering::Relaxed)));
+        state.dropped_messages.set(number(status.dropped_messages.load(Ordering::Relaxed)));
         let view = shared.view.borrow();
         state.instances.set(number(view.entries.len() as u64));
-        state.memory.set(resident_bytes().unwrap_or_default());
-        state.held.set(number(shared.holdings.held() as u64));
+        state.resident_bytes.set(resident_bytes().unwrap_or_default());
+        state.held_bytes.set(number(shared.holdings.held() as u64));
         state.held_peak.set(number(shared.holdings.peak() as u64));
-        state.held_most.set(number(shared.holdings.most() as u64));
+        state.held_limit.set(number(shared.holdings.most() as u64));
         let (budget, blocked) = shared.log.dropped();
-        state.dropped.set(number(budget + blocked));
-        state.calls.clear();
-        state.unread.clear();
+        state.dropped_lines.set(number(budget + blocked));
+        state.endpoint_calls.clear();
+        state.unread_tokens.clear();
         let balance = shared.balance.borrow();
         for registration in &view.endpoints {
             let work = balance.at(&registration.endpoint);
             let at = EndpointLabel { endpoint: registration.endpoint.to_string() };
-            state.calls.get_or_create(&at).set(i64::from(work.calls));
-            state.unread.get_or_create(&at).set(i64::from(work.unread));
+            state.endpoint_calls.get_or_create(&at).set(i64::from(work.calls));
+            state.unread_tokens.get_or_create(&at).set(i64::from(work.unread));
         }
     }
 }
