--- a/crates/rudder-gateway/src/call/rate_limit.rs
+++ b/crates/rudder-gateway/src/call/rate_limit.rs
@@ -50,6 +50,8 @@
     let limits = shared.limits.borrow();
     let limit = limits.report(&choice.endpoint, now)?;
     let roster = shared.roster.borrow();
-    let hall = roster.get(&choice.endpoint).map_or_else(|| shared.options.hall.clone(), |held| held.hall.clone());
+    let hall = roster
+        .get(&choice.endpoint)
+        .map_or_else(|| shared.options.hall.clone(), |registration| registration.hall.clone());
     Some(PermitRequest { limit, hall, tier: call.tier, wanted: limits.wanted(&choice.endpoint, now) })
 }
--- a/crates/rudder-gateway/src/driver.rs
+++ b/crates/rudder-gateway/src/driver.rs
@@ -87,7 +87,7 @@
 /// Fails if the data folder cannot be opened or the disk thread cannot be started.
 pub fn prepare(
     options: &Options,
-    inputs: &Sender<Event>,
+    events: &Sender<Event>,
     notices: UnboundedSender<Vec<Notice>>,
     log: Log,
 ) -> Result<Driver> {
@@ -102,7 +102,7 @@
     };
     let clock_origin = me.epoch;
     let handover = options.duties.as_ref().map(|duties| duties.core.handover).unwrap_or_default();
-    let (disk, durable) = open_disk(options, &name, inputs)?;
+    let (disk, durable) = open_disk(options, &name, events)?;
     log.write(What::Started { hall: me.hall.clone(), start: me.start });
     let state = State::new(epoch.elapsed(), me, core_options(options), durable);
     let endpoints = Vec::new();
@@ -133,18 +133,18 @@
 
 type Disk = (Option<Sender<Job>>, Option<(ReplicaId, Durable)>);
 
-fn open_disk(options: &Options, name: &str, inputs: &Sender<Event>) -> Result<Disk> {
+fn open_disk(options: &Options, name: &str, events: &Sender<Event>) -> Result<Disk> {
     let Some(folder) = &options.data else { return Ok((None, None)) };
     let outcome = rudder_store::open(folder, name, rand::random()).wrap_err("open the data folder")?;
     let (sender, jobs) = unbounded();
-    let (store, inputs) = (outcome.store, inputs.clone());
+    let (store, events) = (outcome.store, events.clone());
     let run = move || {
         disk::run(store, &jobs, |report| {
             let event = match report {
                 Report::Saved(number) => Event::Saved { number },
                 Report::Full => Event::DiskFull,
             };
-            inputs.send(event).is_ok()
+            events.send(event).is_ok()
         });
     };
     std::thread::Builder::new().name("disk".to_owned()).spawn(run).wrap_err("start the disk thread")?;
@@ -219,10 +219,10 @@
     }
 
     /// Runs until the instance ends.
-    pub fn run(mut self, inputs: &Receiver<Event>) {
+    pub fn run(mut self, events: &Receiver<Event>) {
         let mut next = Moment::now();
         loop {
-            match inputs.recv_timeout(next.saturating_duration_since(Moment::now())) {
+            match events.recv_timeout(next.saturating_duration_since(Moment::now())) {
                 Ok(event) => self.reduce(event),
                 Err(RecvTimeoutError::Disconnected) => return,
                 Err(RecvTimeoutError::Timeout) => {}
@@ -336,12 +336,12 @@
 
 /// Logs the endpoints that were added, removed or changed phase. Both lists are ordered by id and share unchanged entries.
 fn log_endpoints(log: &Log, before: &[Arc<Registration>], after: &[Arc<Registration>]) {
-    let write = |held: &Registration, phase: String| {
+    let write = |registration: &Registration, phase: String| {
         log.write(What::Endpoint {
-            endpoint: held.endpoint.clone(),
-            service: held.service.clone(),
+            endpoint: registration.endpoint.clone(),
+            service: registration.service.clone(),
             phase,
-            sequence: held.sequence,
+            sequence: registration.sequence,
         });
     };
     let mut old = before.iter().peekable();
--- a/crates/rudder-gateway/src/operate.rs
+++ b/crates/rudder-gateway/src/operate.rs
@@ -91,19 +91,19 @@
     let document = Document::new(plan.version, body.to_vec());
     drop(body);
     shared.send_event(Event::PutDocument { ticket, document });
-    let held = match tokio::time::timeout(DECISION_TIMEOUT, reply).await {
-        Ok(Ok(Reply::Documented(held))) => held,
+    let version_held = match tokio::time::timeout(DECISION_TIMEOUT, reply).await {
+        Ok(Ok(Reply::Documented(version))) => version,
         _ => None,
     };
-    let status = if held.is_some() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-    let why = if held.is_some() { String::new() } else { "no leader decided in time".to_owned() };
+    let status = if version_held.is_some() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
+    let why = if version_held.is_some() { String::new() } else { "no leader decided in time".to_owned() };
     shared.log.write(What::DocumentPut {
         version: plan.version,
         status: status.as_u16(),
-        held: held.unwrap_or_default(),
+        held: version_held.unwrap_or_default(),
         why,
     });
-    match held {
+    match version_held {
         Some(_) => json(status, Bytes::from_static(b"{}")),
         None => error_response(status, "the outcome is unknown; send the same again"),
     }
@@ -155,14 +155,14 @@
 /// configuration does not name, nor omit a start time that earlier heartbeats named.
 fn check_registration<D: Dialect>(shared: &Shared<D>, reported: Registration) -> Result<Registration, ReportError> {
     let view = shared.view.borrow();
-    let held = view.endpoints.iter().find(|held| held.name() == reported.name() && held.phase < Phase::Gone);
-    let Some(held) = held else { return Ok(reported) };
-    if held.born.is_some() && reported.born.is_none() {
+    let known = view.endpoints.iter().find(|known| known.name() == reported.name() && known.phase < Phase::Gone);
+    let Some(known) = known else { return Ok(reported) };
+    if known.born.is_some() && reported.born.is_none() {
         return Err(ReportError::Born);
     }
     let plan = shared.current_plan();
-    let named = plan.is_none_or(|plan| plan.services.contains_key(&*reported.service));
-    if !named && held.service != reported.service {
+    let is_named = plan.is_none_or(|plan| plan.services.contains_key(&*reported.service));
+    if !is_named && known.service != reported.service {
         return Err(ReportError::Service);
     }
     Ok(reported)
@@ -178,14 +178,14 @@
         Err(fault) => return refuse_report(shared, name, &fault),
     };
     let view = shared.view.borrow().clone();
-    let is_meant = |held: &&Arc<Registration>| {
-        held.name() == name && held.phase != Phase::Replaced && born.is_none_or(|born| held.born == Some(born))
+    let is_wanted = |known: &&Arc<Registration>| {
+        known.name() == name && known.phase != Phase::Replaced && born.is_none_or(|born| known.born == Some(born))
     };
-    let held = view.endpoints.iter().find(is_meant);
+    let known = view.endpoints.iter().find(is_wanted);
     // An endpoint that is unknown here may be known to another instance.
-    let registration = held.map_or_else(
+    let registration = known.map_or_else(
         || Registration::end_of(name, born, shared.options.hall.clone()),
-        |held| Registration { phase: Phase::Gone, ..Registration::clone(held) },
+        |known| Registration { phase: Phase::Gone, ..Registration::clone(known) },
     );
     register(shared, registration).await
 }
--- a/crates/rudder-gateway/src/peers/mod.rs
+++ b/crates/rudder-gateway/src/peers/mod.rs
@@ -118,18 +118,18 @@
 }
 
 /// Receives the messages of other instances until the runtime ends.
-pub async fn accept(listener: TcpListener, inputs: Rc<Sender<Event>>, metrics: PeerMetrics) {
+pub async fn accept(listener: TcpListener, events: Rc<Sender<Event>>, metrics: PeerMetrics) {
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             tokio::time::sleep(Duration::from_millis(20)).await;
             continue;
         };
-        let (inputs, metrics) = (inputs.clone(), metrics.clone());
-        tokio::task::spawn_local(async move { receive(stream, &inputs, &metrics).await });
+        let (events, metrics) = (events.clone(), metrics.clone());
+        tokio::task::spawn_local(async move { receive(stream, &events, &metrics).await });
     }
 }
 
-async fn receive(stream: TcpStream, inputs: &Sender<Event>, metrics: &PeerMetrics) {
+async fn receive(stream: TcpStream, events: &Sender<Event>, metrics: &PeerMetrics) {
     if upstream::configure_socket(&stream).is_err() {
         return;
     }
@@ -150,12 +150,12 @@
             return;
         };
         let kind = message.kind();
-        if inputs.len() >= MAX_QUEUED_EVENTS {
+        if events.len() >= MAX_QUEUED_EVENTS {
             metrics.record(FrameOutcome::Dropped, kind, frame.len());
             continue;
         }
         metrics.record(FrameOutcome::Received, kind, frame.len());
-        if inputs.send(Event::Peer { from, message }).is_err() {
+        if events.send(Event::Peer { from, message }).is_err() {
             return;
         }
     }
--- a/crates/rudder-gateway/src/run.rs
+++ b/crates/rudder-gateway/src/run.rs
@@ -42,15 +42,15 @@
 pub fn run<D: Dialect>(dialect: D, options: Options, reload: impl Fn() -> Result<Vec<InstanceId>>) -> Result<()> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().wrap_err("start the runtime")?;
     let log = Log::start(options.name(), options.log_lines, std::io::stdout());
-    let (inputs, events) = unbounded();
+    let (events, received) = unbounded();
     let (notices, notices_received) = unbounded_channel();
-    let driver = driver::prepare(&options, &inputs, notices, log.fork())?;
+    let driver = driver::prepare(&options, &events, notices, log.fork())?;
     let (status, started) = (driver.status(), driver.epoch());
     thread::Builder::new()
         .name("control".to_owned())
-        .spawn(move || driver.run(&events))
+        .spawn(move || driver.run(&received))
         .wrap_err("start the control thread")?;
-    let shared = Rc::new(Shared::new(dialect, options, started, inputs, log, status));
+    let shared = Rc::new(Shared::new(dialect, options, started, events, log, status));
     let local = LocalSet::new();
     local.block_on(&runtime, serve_all(shared.clone(), notices_received, reload))?;
     thread::sleep(LOG_FLUSH_TIME);
@@ -63,8 +63,8 @@
     reload: impl Fn() -> Result<Vec<InstanceId>>,
 ) -> Result<()> {
     let listeners = shared.options.listeners.clone();
-    let inputs: Rc<Sender<Event>> = Rc::new(shared.inputs.clone());
-    tokio::task::spawn_local(peers::accept(serve::listen(listeners.peers)?, inputs, shared.metrics.peers.clone()));
+    let events: Rc<Sender<Event>> = Rc::new(shared.events.clone());
+    tokio::task::spawn_local(peers::accept(serve::listen(listeners.peers)?, events, shared.metrics.peers.clone()));
     for address in listeners.control() {
         tokio::task::spawn_local(serve::accept(shared.clone(), serve::listen(address)?, Listener::Control));
     }
--- a/crates/rudder-gateway/src/scaling.rs
+++ b/crates/rudder-gateway/src/scaling.rs
@@ -19,18 +19,19 @@
     let roster = shared.roster.borrow().clone();
     let endpoints = roster.of(&service.name);
     let balance = shared.balance.borrow();
-    let calls: u32 = endpoints.iter().map(|held| balance.at(&held.endpoint).calls).sum();
-    let demand = Demand { calls, slots: endpoints.iter().map(|held| held.slots).max().unwrap_or_default() };
-    let halls = count_by_hall(endpoints.iter().map(|held| &**held), bounds);
+    let calls: u32 = endpoints.iter().map(|registration| balance.at(&registration.endpoint).calls).sum();
+    let demand =
+        Demand { calls, slots: endpoints.iter().map(|registration| registration.slots).max().unwrap_or_default() };
+    let halls = count_by_hall(endpoints.iter().map(|registration| &**registration), bounds);
     ServiceState { service: service.name.clone(), bounds: bounds.clone(), demand, halls }
 }
 
 /// Counts the engines that accept work in each hall that has a price or engines.
 fn count_by_hall<'a>(endpoints: impl Iterator<Item = &'a Registration>, bounds: &Bounds) -> Vec<HallEngines> {
     let mut halls: BTreeMap<HallId, (u32, u32)> = bounds.prices.keys().map(|hall| (hall.clone(), (0, 0))).collect();
-    for held in endpoints.filter(|held| held.phase <= Phase::Silent) {
-        let (full, cheap) = halls.entry(held.hall.clone()).or_default();
-        *if held.cheap { cheap } else { full } += 1;
+    for registration in endpoints.filter(|registration| registration.phase <= Phase::Silent) {
+        let (full, cheap) = halls.entry(registration.hall.clone()).or_default();
+        *if registration.cheap { cheap } else { full } += 1;
     }
     let to_engines =
         |(hall, (full, cheap))| HallEngines { hall, on_demand: full, spot: cheap, spot_unavailable: false };
--- a/crates/rudder-gateway/src/serve.rs
+++ b/crates/rudder-gateway/src/serve.rs
@@ -44,8 +44,8 @@
 /// # Errors
 /// Fails if the address cannot be bound.
 pub fn listen(address: SocketAddr) -> Result<TcpListener> {
-    let socket = TcpSocket::new_v4().wrap_err("make a socket")?;
-    socket.set_reuseaddr(true).wrap_err("set a socket's options")?;
+    let socket = TcpSocket::new_v4().wrap_err("create a socket")?;
+    socket.set_reuseaddr(true).wrap_err("set a socket option")?;
     socket.bind(address).wrap_err_with(|| format!("bind {address}"))?;
     socket.listen(BACKLOG).wrap_err_with(|| format!("listen on {address}"))
 }
--- a/crates/rudder-gateway/src/shared.rs
+++ b/crates/rudder-gateway/src/shared.rs
@@ -81,15 +81,15 @@
 /// Tasks that wait for a reply of the reducer.
 #[derive(Debug, Default)]
 pub struct Tickets {
-    count: Cell<u64>,
+    last: Cell<u64>,
     waiting: RefCell<HashMap<u64, oneshot::Sender<Reply>>>,
 }
 
 impl Tickets {
     /// Issues a ticket and returns it with the receiver of its reply.
     pub fn issue(&self) -> (u64, oneshot::Receiver<Reply>) {
-        let ticket = self.count.get() + 1;
-        self.count.set(ticket);
+        let ticket = self.last.get() + 1;
+        self.last.set(ticket);
         let (sender, receiver) = oneshot::channel();
         self.waiting.borrow_mut().insert(ticket, sender);
         (ticket, receiver)
@@ -126,7 +126,7 @@
     /// This instance's name.
     pub name: InstanceId,
     /// The reducer's queue of events.
-    pub inputs: Sender<Event>,
+    pub events: Sender<Event>,
     /// Tasks that wait for a reply of the reducer.
     pub tickets: Tickets,
     /// The latest view of the reducer.
@@ -157,7 +157,7 @@
     pub places: RefCell<Places>,
     /// Endpoints that are warming up.
     pub ramp: RefCell<Ramp>,
-    /// Bytes held for callers and endpoints.
+    /// Bytes buffered for callers and endpoints.
     pub holdings: Arc<Holdings>,
     /// The retry budget.
     pub budget: RefCell<Budget>,
@@ -185,7 +185,7 @@
         dialect: D,
         options: Options,
         started: Moment,
-        inputs: Sender<Event>,
+        events: Sender<Event>,
         log: Log,
         status: Arc<ControlStatus>,
     ) -> Shared<D> {
@@ -198,7 +198,7 @@
             ramp: RefCell::new(Ramp::new(options.name(), started)),
             options,
             started,
-            inputs,
+            events,
             tickets: Tickets::default(),
             view: RefCell::default(),
             roster: RefCell::default(),
@@ -226,7 +226,7 @@
 
     /// Sends an event to the reducer. It is dropped if the control thread has ended.
     pub fn send_event(&self, event: Event) {
-        let _ = self.inputs.send(event);
+        let _ = self.events.send(event);
     }
 
     /// Returns true if this instance holds the duties, by its last known lease.
@@ -274,8 +274,8 @@
         if self.proof_age().is_some() {
             return recover;
         }
-        let rest = self.options.startup_time.saturating_sub(self.started.elapsed());
-        rest.max(recover / 2)
+        let remaining = self.options.startup_time.saturating_sub(self.started.elapsed());
+        remaining.max(recover / 2)
     }
 
     /// Returns true if the proof of the plan is younger than `bound`.
@@ -324,8 +324,8 @@
 
     /// Waits until a later life of the same name has replaced `endpoint`, so that its requests no longer run.
     pub async fn wait_replaced(&self, endpoint: &EndpointId) {
-        let mut news = self.replaced.subscribe();
-        while !self.is_replaced(endpoint) && news.changed().await.is_ok() {}
+        let mut changes = self.replaced.subscribe();
+        while !self.is_replaced(endpoint) && changes.changed().await.is_ok() {}
     }
 
     /// Returns true if a later life of the same name has replaced `endpoint`.
@@ -378,19 +378,19 @@
         }
         let roster = self.roster.borrow();
         // An endpoint that is no longer known has terminated, which the attempt will show.
-        let Some(held) = roster.get(&choice.endpoint) else { return true };
+        let Some(registration) = roster.get(&choice.endpoint) else { return true };
         // The holder of a stream's copy was chosen when the stream started, so its phase may have changed since.
-        held.phase <= Phase::Silent && self.places.borrow().is_open(&held.hall)
+        registration.phase <= Phase::Silent && self.places.borrow().is_open(&registration.hall)
     }
 
     /// Counts a request towards this instance's share of the chosen endpoint's capacity during warm-up.
     fn try_take_ramp_share(&self, choice: &Choice, now: Moment) -> bool {
         let roster = self.roster.borrow();
-        let Some(held) = roster.get(&choice.endpoint) else { return true };
-        let warm_up = self.current_plan().and_then(|plan| plan.services.get(&held.service)?.warm_up);
+        let Some(registration) = roster.get(&choice.endpoint) else { return true };
+        let warm_up = self.current_plan().and_then(|plan| plan.services.get(&registration.service)?.warm_up);
         let mut ramp = self.ramp.borrow_mut();
-        let allowed = ramp.use_of(held, warm_up, &self.options.policy.slow_start, now);
-        ramp.try_take(&held.endpoint, allowed, now)
+        let allowed = ramp.use_of(registration, warm_up, &self.options.policy.slow_start, now);
+        ramp.try_take(&registration.endpoint, allowed, now)
     }
 
     /// How long all endpoints that serve `route` are blocked by backoffs or exhausted rate limits; `None` if one accepts
@@ -401,12 +401,15 @@
         let limits = self.limits.borrow();
         let endpoints = route.shares.iter().flat_map(|share| roster.of(&share.service));
         let mut soonest: Option<Moment> = None;
-        for held in endpoints {
-            if held.phase > Phase::Silent || !places.is_open(&held.hall) || backoff.is_leaving(&held.endpoint) {
+        for registration in endpoints {
+            if registration.phase > Phase::Silent
+                || !places.is_open(&registration.hall)
+                || backoff.is_leaving(&registration.endpoint)
+            {
                 continue;
             }
-            let retry_at = backoff.retry_at(&held.endpoint, now);
-            let until = retry_at.max(limits.retry_at(&held.endpoint, now))?;
+            let retry_at = backoff.retry_at(&registration.endpoint, now);
+            let until = retry_at.max(limits.retry_at(&registration.endpoint, now))?;
             soonest = Some(soonest.map_or(until, |soonest| soonest.min(until)));
         }
         soonest.map(|until| until.saturating_duration_since(now))
@@ -439,8 +442,12 @@
         let (now, balance, roster) = (Moment::now(), self.balance.borrow(), self.roster.borrow().clone());
         let mut services: Vec<Vec<(EndpointId, Tally)>> = Vec::new();
         for endpoints in roster.services() {
-            let ready = endpoints.iter().filter(|held| held.phase == Phase::Ready);
-            services.push(ready.map(|held| (held.endpoint.clone(), balance.tally(&held.endpoint, now))).collect());
+            let ready = endpoints.iter().filter(|registration| registration.phase == Phase::Ready);
+            services.push(
+                ready
+                    .map(|registration| (registration.endpoint.clone(), balance.tally(&registration.endpoint, now)))
+                    .collect(),
+            );
         }
         let suspects = services.iter().flat_map(|tallies| recent::suspects(tallies)).collect();
         for endpoint in self.health.borrow_mut().set_suspects(suspects) {
@@ -452,8 +459,8 @@
 
     fn apply_document(&self, document: Option<&Document>) {
         let Some(document) = document else { return };
-        let held = self.plan.borrow().as_ref().map_or(0, |plan| plan.version);
-        if document.version <= held {
+        let current = self.plan.borrow().as_ref().map_or(0, |plan| plan.version);
+        if document.version <= current {
             return;
         }
         match self.dialect.read_document(&document.body) {
@@ -469,23 +476,23 @@
         let view = self.view.borrow();
         let places = self.places.borrow();
         let live: Vec<&Listing> = view.entries.iter().filter(|listing| listing.takes_callers()).collect();
-        let pick = |is_meant: &dyn Fn(&Listing) -> bool| -> Vec<&Listing> {
-            live.iter().copied().filter(|listing| is_meant(listing)).collect()
+        let select = |is_wanted: &dyn Fn(&Listing) -> bool| -> Vec<&Listing> {
+            live.iter().copied().filter(|listing| is_wanted(listing)).collect()
         };
-        let near = pick(&|listing| query.hall.as_deref() == Some(&*listing.hall));
+        let near = select(&|listing| query.hall.as_deref() == Some(&*listing.hall));
         if near.len() >= MIN_NEAR_INSTANCES {
             return to_addresses(&near);
         }
         let region = query.hall.as_deref().and_then(|hall| places.region_of(hall)).map(|region| &**region);
         let region = region.or(query.region.as_deref());
         let of_region =
-            pick(&|listing| region.is_some() && places.region_of(&listing.hall).map(|held| &**held) == region);
+            select(&|listing| region.is_some() && places.region_of(&listing.hall).map(|found| &**found) == region);
         if !of_region.is_empty() {
             return to_addresses(&of_region);
         }
         let plan = self.current_plan();
         let residency = plan.zip(query.host.as_deref()).and_then(|(plan, host)| plan.residency_of_host(host));
-        let resident = pick(&|listing| residency.is_some() && places.allows(residency.as_deref(), &listing.hall));
+        let resident = select(&|listing| residency.is_some() && places.allows(residency.as_deref(), &listing.hall));
         to_addresses([&resident, &near, &live].into_iter().find(|listings| !listings.is_empty()).unwrap_or(&live))
     }
 }
--- a/crates/rudder-gateway/src/upstream.rs
+++ b/crates/rudder-gateway/src/upstream.rs
@@ -87,10 +87,10 @@
     /// Closes the connections that have been idle too long.
     pub fn evict_expired(&mut self, now: Moment) {
         self.idle.retain(|_, idle| {
-            idle.retain(|held| {
+            idle.retain(|entry| {
                 let bound =
-                    held.keep_alive.map_or(DEFAULT_IDLE_TIMEOUT, |keep_alive| keep_alive.saturating_sub(CLOSE_MARGIN));
-                now.saturating_duration_since(held.since) < bound && !held.connection.sender.is_closed()
+                    entry.keep_alive.map_or(DEFAULT_IDLE_TIMEOUT, |keep_alive| keep_alive.saturating_sub(CLOSE_MARGIN));
+                now.saturating_duration_since(entry.since) < bound && !entry.connection.sender.is_closed()
             });
             !idle.is_empty()
         });
