--- a/crates/rudder-gateway/src/call/admit.rs
+++ b/crates/rudder-gateway/src/call/admit.rs
@@ -11,8 +11,8 @@
 
 use super::{
     Call, Progress, Refusal,
-    ended::{check_not_refused, to_hex},
     refusal::{denied, not_run},
+    termination::{check_quarantine, to_hex},
 };
 use crate::{
     Dialect, Plan, Route,
@@ -79,7 +79,7 @@
         proof_ms: shared.proof_age().unwrap_or_default().as_millis() as u64,
         left_ms: allowed.as_millis() as u64,
     });
-    check_not_refused(shared, content, &Progress::default())?;
+    check_quarantine(shared, content, &Progress::default())?;
     let mut headers = parts.headers;
     strip_hop_headers(&mut headers);
     let engine_rank = plan.engine_rank(&route, tier);
--- a/crates/rudder-gateway/src/call/attempt.rs
+++ b/crates/rudder-gateway/src/call/attempt.rs
@@ -13,9 +13,9 @@
 
 use super::{
     Call, EndpointAnswer, Failure, Progress, Refusal, ResumePoint,
-    checks::{check_not_hopeless, check_still_allowed, expected_wait, take_retry_for_silent},
+    checks::{check_expected_wait, check_still_allowed, expected_wait, take_retry_for_silent},
     rate_limit::take_permit,
-    record_begun, record_if_ended,
+    record_begun, record_if_terminated,
     send::MAX_BUFFERED_ANSWER,
 };
 use crate::{
@@ -114,14 +114,14 @@
     shared: &Rc<Shared<D>>,
     call: &Call,
     progress: &mut Progress,
-    from: ResumePoint,
+    resume: ResumePoint,
 ) -> Result<Result<EndpointAnswer, Failure>, Refusal> {
     let Some(choice) = choose_endpoint(shared, call, progress) else {
         progress.unsent_attempts = MAX_UNSENT_ATTEMPTS;
         return Ok(Err(Failure::NotSent(unavailable_reason(shared, call))));
     };
     if progress.sent == 0 {
-        check_not_hopeless(shared, call, &choice)?;
+        check_expected_wait(shared, call, &choice)?;
     }
     let permit = match take_permit(shared, call, &choice).await {
         Ok(permit) => permit,
@@ -142,7 +142,7 @@
         }
     };
     check_still_allowed(shared, call, progress)?;
-    Ok(send_over(shared, call, progress, (choice, permit), connection, from).await)
+    Ok(send_over(shared, call, progress, (choice, permit), connection, resume).await)
 }
 
 /// Why no endpoint can be chosen.
@@ -163,7 +163,7 @@
     progress: &mut Progress,
     (choice, permit): (Choice, Option<Permit>),
     mut connection: Connection,
-    from: ResumePoint,
+    resume: ResumePoint,
 ) -> Result<EndpointAnswer, Failure> {
     let now = Moment::now();
     let left = call.deadline.saturating_duration_since(now);
@@ -183,7 +183,7 @@
     }
     log_sent(shared, call, progress, &choice, connection.carried > 0, left);
     progress.last_choice = Some(choice.clone());
-    let request = call.to_request(&shared.dialect, &choice, left, from);
+    let request = call.to_request(&shared.dialect, &choice, left, resume);
     let prompt = call.prompt.as_ref();
     let unread = choice.unread;
     let memory = prompt.map_or(0, |prompt| prompt.tokens + prompt.expected_answer());
@@ -204,7 +204,7 @@
         return Err(Failure::OutcomeUnknown("the endpoint answered another request"));
     }
     let response = Response::from_parts(parts, body);
-    Ok(EndpointAnswer { choice, response, head, connection, flight, sent: now, continued: from.from_copy })
+    Ok(EndpointAnswer { choice, response, head, connection, flight, sent: now, resumed: resume.from_copy })
 }
 
 /// Applies the pushback of an endpoint to this instance.
@@ -280,7 +280,7 @@
             }
             record_outcome(shared, &choice.endpoint, Outcome::Failed);
             log_failure(shared, call, progress, choice, why, Ran::Unknown);
-            record_if_ended(shared, call, progress, choice).await;
+            record_if_terminated(shared, call, progress, choice).await;
             Err(Failure::OutcomeUnknown("the endpoint broke off"))
         }
         Err(_) => {
--- a/crates/rudder-gateway/src/call/checks.rs
+++ b/crates/rudder-gateway/src/call/checks.rs
@@ -8,8 +8,8 @@
 use super::{
     Call, Progress, Refusal,
     attempt::choose_endpoint,
-    ended::{check_not_refused, is_risky},
     refusal::{no_retry, not_run},
+    termination::{check_quarantine, is_content_suspect},
 };
 use crate::{Dialect, Route, RouteKind, choose::Choice, places::residency_of, shared::Shared};
 
@@ -23,7 +23,7 @@
     if progress.possible_runs >= bound || progress.sent >= bound + EXTRA_ATTEMPTS_NOT_RUN || now >= call.deadline {
         return false;
     }
-    if is_risky(shared, call, progress) || choose_endpoint(shared, call, progress).is_none() {
+    if is_content_suspect(shared, call, progress) || choose_endpoint(shared, call, progress).is_none() {
         return false;
     }
     let Some(service) = progress.service.clone() else { return true };
@@ -42,7 +42,7 @@
 
 /// Refuses a stream of the lowest priority if the prompts queued at its best engine would make it miss its target by far,
 /// and delay the streams behind it.
-pub(super) fn check_not_hopeless<D: Dialect>(shared: &Shared<D>, call: &Call, choice: &Choice) -> Result<(), Refusal> {
+pub(super) fn check_expected_wait<D: Dialect>(shared: &Shared<D>, call: &Call, choice: &Choice) -> Result<(), Refusal> {
     let Some(plan) = shared.current_plan() else { return Ok(()) };
     let hopeless = shared.options.policy.guard.hopeless;
     if call.route.kind != RouteKind::Stream || call.prompt.is_none() || !plan.is_lowest(&call.route, &choice.service) {
@@ -88,5 +88,5 @@
     if !plan.find(&call.host, call.uri.path()).is_some_and(|route| is_same(route)) {
         return Err(refusal("the route has changed"));
     }
-    check_not_refused(shared, call.content, progress)
+    check_quarantine(shared, call.content, progress)
 }
--- a/crates/rudder-gateway/src/call/copies.rs
+++ b/crates/rudder-gateway/src/call/copies.rs
@@ -9,8 +9,8 @@
     Call, EndpointAnswer, Progress, ResumePoint,
     attempt::{connect, log_failure, record_outcome, send_over},
     checks::check_still_allowed,
-    ended::is_risky,
     rate_limit::take_permit,
+    termination::is_content_suspect,
 };
 use crate::{Dialect, choose::Choice, health::Outcome, shared::Shared};
 
@@ -25,7 +25,7 @@
     progress: &mut Progress,
     last_event: u64,
 ) -> Option<EndpointAnswer> {
-    if is_risky(shared, call, progress) {
+    if is_content_suspect(shared, call, progress) {
         return None;
     }
     let before = progress.last_choice.take()?;
@@ -55,8 +55,8 @@
     let permit = take_permit(shared, call, &choice).await.ok()?;
     let connection = connect(shared, call, &choice).await.ok()?;
     check_still_allowed(shared, call, progress).ok()?;
-    let from = ResumePoint { last_event: Some(last_event), from_copy: true };
-    let answer = send_over(shared, call, progress, (choice, permit), connection, from).await.ok()?;
+    let resume = ResumePoint { last_event: Some(last_event), from_copy: true };
+    let answer = send_over(shared, call, progress, (choice, permit), connection, resume).await.ok()?;
     if answer.response.status().is_success() && !answer.head.not_run {
         shared.metrics.record_resume();
         return Some(answer);
--- a/crates/rudder-gateway/src/call/mod.rs
+++ b/crates/rudder-gateway/src/call/mod.rs
@@ -10,17 +10,17 @@
 //! - [`attempt`]: one attempt, from the choice of an endpoint to the head of its answer;
 //! - [`rate_limit`]: permits for endpoints that have a rate limit;
 //! - [`copies`]: resumes a stream from a copy of its memory after its endpoint has terminated;
-//! - [`ended`]: endpoints that terminate during a request;
+//! - [`termination`]: endpoints that terminate during a request;
 //! - [`refusal`]: error answers of the instance itself.
 
 pub mod admit;
 pub mod attempt;
 pub mod checks;
 pub mod copies;
-pub mod ended;
 pub mod rate_limit;
 pub mod refusal;
 pub mod send;
+pub mod termination;
 
 use std::{rc::Rc, sync::Arc, time::Duration};
 
@@ -36,9 +36,9 @@
 pub use attempt::{attempt, log_failure, record_outcome, return_connection};
 pub use checks::{take_retry, take_retry_for_silent};
 pub use copies::resume_from_copy;
-pub use ended::{record_answered, record_if_ended, to_hex};
 pub use refusal::Refusal;
 pub use send::take_retry_after;
+pub use termination::{record_answered, record_if_terminated, to_hex};
 
 use crate::{
     Dialect, Route, RouteKind,
@@ -116,7 +116,7 @@
     /// When the request was sent.
     pub sent: Moment,
     /// The endpoint resumed from a copy, so the run counts as begun.
-    pub continued: bool,
+    pub resumed: bool,
 }
 
 /// Why an attempt failed.
@@ -155,7 +155,7 @@
     /// An endpoint has begun to run it. Retries do not count again towards the organisation's usage.
     pub begun: bool,
     /// Endpoints that terminated while they served it.
-    pub ended_endpoints: usize,
+    pub terminated_endpoints: usize,
     unsent_attempts: u32,
     /// Only endpoints without a rate limit are eligible.
     unlimited_only: bool,
@@ -232,7 +232,7 @@
         dialect: &D,
         choice: &Choice,
         left: Duration,
-        from: ResumePoint,
+        resume: ResumePoint,
     ) -> Request<Full<Bytes>> {
         let mut headers = self.headers.clone();
         let tier = self.prompt.is_some().then_some(self.engine_rank);
@@ -242,10 +242,10 @@
             remaining: left,
             organisation,
             tier,
-            last_event: from.last_event,
+            last_event: resume.last_event,
             copy_to: choice.keeper.as_ref().map(|keeper| &*keeper.address),
-            fetch_from: choice.fetch_from.as_deref().filter(|_| !from.from_copy),
-            resume_from: from.from_copy.then_some(&*choice.address),
+            fetch_from: choice.fetch_from.as_deref().filter(|_| !resume.from_copy),
+            resume_from: resume.from_copy.then_some(&*choice.address),
         };
         dialect.write_forward(&mut headers, &forward);
         let mut request = Request::new(Full::new(self.body.clone()));
--- a/crates/rudder-gateway/src/call/send.rs
+++ b/crates/rudder-gateway/src/call/send.rs
@@ -9,7 +9,7 @@
 use super::{
     Call, EndpointAnswer, Failure, Progress, Refusal, ResumePoint,
     attempt::{MAX_UNSENT_ATTEMPTS, attempt, record_not_run, record_outcome, return_connection},
-    record_answered, record_begun, record_if_ended,
+    record_answered, record_begun, record_if_terminated,
     refusal::{final_refusal, outcome_unknown, promises_not_run},
     strip_hop_headers, take_retry,
 };
@@ -29,10 +29,10 @@
 /// Sends a request until it is answered or no retry is left.
 pub(super) async fn send<D: Dialect>(shared: &Rc<Shared<D>>, call: Call) -> Result<Response<AnswerBody>, Refusal> {
     let mut progress = Progress::default();
-    let from = ResumePoint { last_event: call.last_event, from_copy: false };
+    let resume = ResumePoint { last_event: call.last_event, from_copy: false };
     let mut fallback: Option<Response<AnswerBody>> = None;
     loop {
-        let answer = match attempt(shared, &call, &mut progress, from).await? {
+        let answer = match attempt(shared, &call, &mut progress, resume).await? {
             Ok(answer) => answer,
             Err(failure) => {
                 if take_retry_after(shared, &call, &mut progress, &failure) {
@@ -115,7 +115,7 @@
         Ok(Some(bytes)) => bytes,
         Ok(None) => {
             record_outcome(shared, &choice.endpoint, Outcome::Failed);
-            record_if_ended(shared, call, progress, &choice).await;
+            record_if_terminated(shared, call, progress, &choice).await;
             return Err(Failure::OutcomeUnknown("the endpoint's answer broke off"));
         }
         Err(_) => return Err(Failure::DeadlineExceeded),
--- a/crates/rudder-gateway/src/call/ended.rs
+++ b/crates/rudder-gateway/src/call/termination.rs
@@ -9,10 +9,10 @@
 use crate::{Dialect, choose::Choice, shared::Shared, upstream};
 
 /// A request is not retried once this many endpoints have terminated while serving its content.
-const MAX_ENDED_ENDPOINTS: usize = 2;
+const MAX_TERMINATED_ENDPOINTS: usize = 2;
 
 /// Checks whether the endpoint whose connection broke during `call` has terminated, and records it if so.
-pub async fn record_if_ended<D: Dialect>(
+pub async fn record_if_terminated<D: Dialect>(
     shared: &Shared<D>,
     call: &Call,
     progress: &mut Progress,
@@ -22,7 +22,7 @@
         shared.contents.borrow_mut().note_broken(call.content, &choice.endpoint);
         return false;
     }
-    progress.ended_endpoints += 1;
+    progress.terminated_endpoints += 1;
     shared.metrics.record_ended_under();
     shared.log.write(What::EndedUnder {
         request: call.id.clone(),
@@ -45,15 +45,15 @@
 }
 
 /// Returns true if too many endpoints have terminated while serving the content of `call` to retry it.
-pub(super) fn is_risky<D: Dialect>(shared: &Shared<D>, call: &Call, progress: &Progress) -> bool {
+pub(super) fn is_content_suspect<D: Dialect>(shared: &Shared<D>, call: &Call, progress: &Progress) -> bool {
     if !shared.options.policy.guard.quarantine {
         return false;
     }
-    shared.contents.borrow().ended_count(call.content).max(progress.ended_endpoints) >= MAX_ENDED_ENDPOINTS
+    shared.contents.borrow().ended_count(call.content).max(progress.terminated_endpoints) >= MAX_TERMINATED_ENDPOINTS
 }
 
 /// Refuses a request whose content is in quarantine.
-pub(super) fn check_not_refused<D: Dialect>(
+pub(super) fn check_quarantine<D: Dialect>(
     shared: &Shared<D>,
     content: ContentTag,
     progress: &Progress,
--- a/crates/rudder-gateway/src/run.rs
+++ b/crates/rudder-gateway/src/run.rs
@@ -102,7 +102,7 @@
     shared.report_begun();
     let end = Moment::now() + FINAL_COUNTS_TIMEOUT;
     loop {
-        // The control thread updates its status once per tick.
+        // Wait for a tick, as the control thread updates its status once per tick.
         tokio::time::sleep(HOUSEKEEPING_INTERVAL).await;
         if shared.status.unreported_requests.load(Ordering::Relaxed) == 0 || Moment::now() >= end {
             return;
--- a/crates/rudder-gateway/src/stream.rs
+++ b/crates/rudder-gateway/src/stream.rs
@@ -122,7 +122,7 @@
             progress,
             events: Events::default(),
             sender,
-            first: None,
+            first_byte: None,
             pauses: PauseMeter::default(),
         };
         relay.run(answer).await;
@@ -139,7 +139,7 @@
     progress: Progress,
     events: Events,
     sender: mpsc::Sender<Result<Bytes, Interrupted>>,
-    first: Option<Moment>,
+    first_byte: Option<Moment>,
     pauses: PauseMeter,
 }
 
@@ -163,7 +163,7 @@
                 End::Unresponsive => "the endpoint is silent",
             };
             self.log_cut(&choice.endpoint, why);
-            let ended = matches!(end, End::Interrupted) && self.record_if_ended(&choice).await;
+            let ended = matches!(end, End::Interrupted) && self.record_if_terminated(&choice).await;
             let next = match end {
                 End::Interrupted if self.has_copy() && ended => self.resume_from_copy().await,
                 End::Interrupted if self.has_copy() => None,
@@ -182,14 +182,14 @@
 
     /// Forwards what one endpoint sends until its part of the stream ends.
     async fn relay(&mut self, answer: EndpointAnswer) -> End {
-        let EndpointAnswer { choice, response, head, connection, mut flight, sent, continued } = answer;
+        let EndpointAnswer { choice, response, head, connection, mut flight, sent, resumed } = answer;
         let mut body = response.into_body();
         let whole_events = self.call.route.resumable || self.has_copy();
         // A stream that cannot be resumed is not abandoned.
         let may_abandon = self.shared.options.policy.guard.impatience && self.call.route.resumable;
         let timeout = may_abandon.then(|| self.call.silence_timeout());
         let mut silent_at = timeout.map(|timeout| Moment::now() + timeout);
-        let mut began = continued;
+        let mut began = resumed;
         let shared = self.shared.clone();
         let mut replaced = std::pin::pin!(shared.wait_replaced(&choice.endpoint));
         loop {
@@ -214,9 +214,9 @@
             };
             let Ok(bytes) = frame.into_data() else { continue };
             silent_at = timeout.map(|timeout| Moment::now() + timeout);
-            if self.first.is_none() {
+            if self.first_byte.is_none() {
                 let now = Moment::now();
-                self.first = Some(now);
+                self.first_byte = Some(now);
                 let tokens = choice.ahead + choice.unread;
                 let after = now.saturating_duration_since(sent);
                 self.shared
@@ -268,8 +268,8 @@
         kept && !self.call.route.resumable
     }
 
-    async fn record_if_ended(&mut self, choice: &Choice) -> bool {
-        call::record_if_ended(self.shared, &self.call, &mut self.progress, choice).await
+    async fn record_if_terminated(&mut self, choice: &Choice) -> bool {
+        call::record_if_terminated(self.shared, &self.call, &mut self.progress, choice).await
     }
 
     async fn resume_from_copy(&mut self) -> Option<EndpointAnswer> {
@@ -288,8 +288,8 @@
         while has_retry {
             self.events.drop_pending();
             let last = self.events.last.or(self.call.last_event);
-            let from = ResumePoint { last_event: last, from_copy: false };
-            let attempted = call::attempt(self.shared, &self.call, &mut self.progress, from);
+            let resume = ResumePoint { last_event: last, from_copy: false };
+            let attempted = call::attempt(self.shared, &self.call, &mut self.progress, resume);
             has_retry = match timeout_at(self.call.deadline, attempted).await.ok()?.ok()? {
                 Ok(answer)
                     if answer.response.status().is_success() && !answer.head.not_run && !answer.head.misdirected =>
@@ -323,7 +323,7 @@
             request: self.call.id.clone(),
             endpoint: endpoint.clone(),
             status: 200,
-            first_ms: self.first.map_or(0, since),
+            first_ms: self.first_byte.map_or(0, since),
             total_ms: since(Moment::now()),
             pause_ms: self.pauses.longest.as_millis() as u64,
         });
