--- a/crates/rudder-gateway/src/call/attempt.rs
+++ b/crates/rudder-gateway/src/call/attempt.rs
@@ -29,8 +29,8 @@
     upstream::{self, Connection},
 };
 
-/// Attempts that may fail before anything is sent, by a failed connection or an exhausted rate limit, until the request is
-/// refused. Connections to terminated endpoints fail at once, so the bound is high enough to get past a failed rack.
+/// Attempts that may fail before anything is sent, by a failed connection or an exhausted rate limit, until the request
+/// is refused. Connections to terminated endpoints fail at once, so the bound is high enough to get past a failed rack.
 pub(super) const MAX_UNSENT_ATTEMPTS: u32 = 12;
 
 /// Records that an endpoint did not run the request.
@@ -242,7 +242,8 @@
     shared.log.write(What::LimitNamed { endpoint: endpoint.clone(), per_second });
 }
 
-/// Waits for the head of an answer. A repeatable request is abandoned after the silence timeout if a retry is available.
+/// Waits for the head of an answer. A repeatable request is abandoned after the silence timeout if a retry is
+/// available.
 async fn wait_for_head<D: Dialect>(
     shared: &Rc<Shared<D>>,
     call: &Call,
@@ -275,7 +276,8 @@
         Ok(Ok(response)) => Ok(response),
         Ok(Err(why)) => {
             if sent.elapsed() >= expected_wait(shared, choice) {
-                // Plain services start at once, engines after the prompts queued ahead, so the request has started by now.
+                // Plain services start at once, engines after the prompts queued ahead, so the request has started by
+                // now.
                 record_begun(shared, call, progress, sent);
             }
             record_outcome(shared, &choice.endpoint, Outcome::Failed);
--- a/crates/rudder-gateway/src/call/checks.rs
+++ b/crates/rudder-gateway/src/call/checks.rs
@@ -31,8 +31,8 @@
     shared.budget.borrow_mut().try_take(&service, now, instances)
 }
 
-/// Takes a retry for an attempt whose endpoint is silent. The retry is limited to endpoints without a rate limit: a denied
-/// permit would refuse a request that its first endpoint may still answer.
+/// Takes a retry for an attempt whose endpoint is silent. The retry is limited to endpoints without a rate limit: a
+/// denied permit would refuse a request that its first endpoint may still answer.
 pub fn take_retry_for_silent<D: Dialect>(shared: &Shared<D>, call: &Call, progress: &mut Progress) -> bool {
     let before = std::mem::replace(&mut progress.unlimited_only, true);
     let taken = take_retry(shared, call, progress);
@@ -40,8 +40,8 @@
     taken
 }
 
-/// Refuses a stream of the lowest priority if the prompts queued at its best engine would make it miss its target by far,
-/// and delay the streams behind it.
+/// Refuses a stream of the lowest priority if the prompts queued at its best engine would make it miss its target by
+/// far, and delay the streams behind it.
 pub(super) fn check_expected_wait<D: Dialect>(shared: &Shared<D>, call: &Call, choice: &Choice) -> Result<(), Refusal> {
     let Some(plan) = shared.current_plan() else { return Ok(()) };
     let hopeless = shared.options.policy.guard.hopeless;
@@ -67,7 +67,8 @@
     shared.reading.borrow().time_for(&choice.service, choice.ahead)
 }
 
-/// Checks the key, the route and the quarantine again right before a request is sent, as they may have changed meanwhile.
+/// Checks the key, the route and the quarantine again right before a request is sent, as they may have changed
+/// meanwhile.
 pub(super) fn check_still_allowed<D: Dialect>(
     shared: &Shared<D>,
     call: &Call,
--- a/crates/rudder-gateway/src/call/copies.rs
+++ b/crates/rudder-gateway/src/call/copies.rs
@@ -16,9 +16,9 @@
 
 /// Resumes a stream at the endpoint that holds a copy of its memory.
 ///
-/// This continues the same run, also on routes whose requests run at most once. Call it only once the first endpoint has
-/// terminated: an endpoint that is still reachable may still be running the request. There is no copy before the first
-/// complete event.
+/// This continues the same run, also on routes whose requests run at most once. Call it only once the first endpoint
+/// has terminated: an endpoint that is still reachable may still be running the request. There is no copy before the
+/// first complete event.
 pub async fn resume_from_copy<D: Dialect>(
     shared: &Rc<Shared<D>>,
     call: &Call,
--- a/crates/rudder-gateway/src/call/mod.rs
+++ b/crates/rudder-gateway/src/call/mod.rs
@@ -53,7 +53,8 @@
     upstream::Connection,
 };
 
-/// Silence of an endpoint, as a multiple of the route's target, after which a repeatable request is sent to another one.
+/// Silence of an endpoint, as a multiple of the route's target, after which a repeatable request is sent to another
+/// one.
 const SILENCE_FACTOR: u32 = 2;
 /// Lower bound of the timeout that follows from [`SILENCE_FACTOR`].
 const MIN_SILENCE_TIMEOUT: Duration = Duration::from_millis(150);
--- a/crates/rudder-gateway/src/call/termination.rs
+++ b/crates/rudder-gateway/src/call/termination.rs
@@ -36,7 +36,8 @@
     true
 }
 
-/// Records that an endpoint answered a request completely, and reports it if endpoints terminated while serving its content.
+/// Records that an endpoint answered a request completely, and reports it if endpoints terminated while serving its
+/// content.
 pub fn record_answered<D: Dialect>(shared: &Shared<D>, call: &Call) {
     let findings = shared.contents.borrow_mut().note_answered(call.content, Moment::now());
     if let Some(findings) = findings {
--- a/crates/rudder-gateway/src/dialect.rs
+++ b/crates/rudder-gateway/src/dialect.rs
@@ -129,7 +129,8 @@
     pub last_event: Option<u64>,
     /// Address of the endpoint that receives a copy of the request's memory while it runs.
     pub copy_to: Option<&'a str>,
-    /// Address of the endpoint from which the intended one fetches cached parts of the prompt before it computes the rest.
+    /// Address of the endpoint from which the intended one fetches cached parts of the prompt before it computes the
+    /// rest.
     pub fetch_from: Option<&'a str>,
     /// Address under which the intended endpoint holds the copy that the request resumes from.
     pub resume_from: Option<&'a str>,
--- a/crates/rudder-gateway/src/driver.rs
+++ b/crates/rudder-gateway/src/driver.rs
@@ -334,7 +334,8 @@
     }
 }
 
-/// Logs the endpoints that were added, removed or changed phase. Both lists are ordered by id and share unchanged entries.
+/// Logs the endpoints that were added, removed or changed phase. Both lists are ordered by id and share unchanged
+/// entries.
 fn log_endpoints(log: &Log, before: &[Arc<Registration>], after: &[Arc<Registration>]) {
     let write = |registration: &Registration, phase: String| {
         log.write(What::Endpoint {
--- a/crates/rudder-gateway/src/duty.rs
+++ b/crates/rudder-gateway/src/duty.rs
@@ -1,7 +1,7 @@
 //! Calls of the holder of a duty to the receiver that the settings name.
 //!
-//! The lease is checked once the connection is open, right before the call is written, so that a process that was paused
-//! does not make calls on an expired lease.
+//! The lease is checked once the connection is open, right before the call is written, so that a process that was
+//! paused does not make calls on an expired lease.
 
 use std::{rc::Rc, time::Duration};
 
--- a/crates/rudder-gateway/src/lib.rs
+++ b/crates/rudder-gateway/src/lib.rs
@@ -1,11 +1,11 @@
 //! The gateway of an instance, on tokio and hyper.
 //!
 //! The traffic thread ([`run`]) serves all sockets: callers, operators, endpoints' heartbeats and other instances. The
-//! control thread ([`driver`]) owns the reducer, and a third thread the disk. A [`Dialect`] defines the formats on the wire:
-//! it converts heads and bodies to typed messages and back.
+//! control thread ([`driver`]) owns the reducer, and a third thread the disk. A [`Dialect`] defines the formats on the
+//! wire: it converts heads and bodies to typed messages and back.
 //!
-//! [`serve`] reads a request. [`call`] finds its route, checks its key and the freshness of the configuration, and sends it
-//! to the endpoint that [`choose`] selects, over a connection of [`upstream`]. [`stream`] forwards events.
+//! [`serve`] reads a request. [`call`] finds its route, checks its key and the freshness of the configuration, and
+//! sends it to the endpoint that [`choose`] selects, over a connection of [`upstream`]. [`stream`] forwards events.
 #![deny(missing_docs, unsafe_code)]
 
 pub mod backoff;
--- a/crates/rudder-gateway/src/logging.rs
+++ b/crates/rudder-gateway/src/logging.rs
@@ -1,8 +1,8 @@
 //! The log: one JSON object per line on standard output, rate-limited and non-blocking.
 //!
-//! A budget of lines per second drops routine lines first; failures, refusals and state changes have a reserve. A thread
-//! writes the lines from a bounded queue, so a full pipe drops lines but never blocks. Dropped lines are counted, and the
-//! count is logged once a second.
+//! A budget of lines per second drops routine lines first; failures, refusals and state changes have a reserve. A
+//! thread writes the lines from a bounded queue, so a full pipe drops lines but never blocks. Dropped lines are
+//! counted, and the count is logged once a second.
 
 use std::{
     cell::Cell,
--- a/crates/rudder-gateway/src/metrics.rs
+++ b/crates/rudder-gateway/src/metrics.rs
@@ -279,7 +279,7 @@
             "Requests whose endpoint terminated while serving them",
             self.ended_under.clone(),
         );
-        let help = "Requests whose chosen endpoint no longer accepted requests, by warm-up, backoff, rate limit, departure or evacuation";
+        let help = "Requests whose chosen endpoint no longer accepted them by the time of sending";
         registry.register("held_back", help, self.held_back.clone());
         registry.register("refused_words", "Rejected reports of endpoints, by reason", self.refused_reports.clone());
         registry.register("duty_calls", "Calls of the holder of a duty, by duty and outcome", self.duties.clone());
--- a/crates/rudder-gateway/src/options.rs
+++ b/crates/rudder-gateway/src/options.rs
@@ -12,8 +12,8 @@
 
 use crate::Policy;
 
-/// Addresses at which an instance listens, which define its role. An instance without a listener for callers appears in no
-/// list for callers and serves only the configuration and the lists of instances and endpoints.
+/// Addresses at which an instance listens, which define its role. An instance without a listener for callers appears in
+/// no list for callers and serves only the configuration and the lists of instances and endpoints.
 #[derive(Clone, Debug)]
 pub struct Listeners {
     /// For callers.
@@ -83,7 +83,8 @@
     pub retry_extra: u32,
     /// `Retry-After` of a request that was refused because its endpoints are full.
     pub retry_after: Duration,
-    /// `Retry-After` of a request that was refused for lack of a proof of the configuration: about the time of an election.
+    /// `Retry-After` of a request that was refused for lack of a proof of the configuration: about the time of an
+    /// election.
     pub recovery_retry_after: Duration,
     /// Time until the configuration is proved when all instances start at once: an election and the distribution of the
     /// configuration.
--- a/crates/rudder-gateway/src/peers/mod.rs
+++ b/crates/rudder-gateway/src/peers/mod.rs
@@ -1,7 +1,7 @@
 //! Links between instances: `MessagePack` frames over TCP, one connection in each direction.
 //!
-//! Delivery is not reliable: messages may be lost, duplicated or delayed, and the protocols above resend them. A link that
-//! is full or broken therefore drops its messages. Queues are bounded in bytes ([`queue`]).
+//! Delivery is not reliable: messages may be lost, duplicated or delayed, and the protocols above resend them. A link
+//! that is full or broken therefore drops its messages. Queues are bounded in bytes ([`queue`]).
 
 pub mod queue;
 
--- a/crates/rudder-gateway/src/peers/queue.rs
+++ b/crates/rudder-gateway/src/peers/queue.rs
@@ -9,12 +9,14 @@
 use bytes::Bytes;
 use tokio::sync::Notify;
 
-/// Largest number of bytes queued for one link; a larger frame is queued alone. A link of 10 Mbit/s sends it in about a second.
+/// Largest number of bytes queued for one link; a larger frame is queued alone. A link of 10 Mbit/s sends it in about a
+/// second.
 const MAX_LINK_BYTES: usize = 1 << 20;
 /// Largest number of bytes queued for all links: a part of the 32 MB that an instance has for control.
 const MAX_TOTAL_BYTES: usize = 12 << 20;
 
-/// A frame of up to this size is queued on an empty link whatever the total, so that leases and log heartbeats go through.
+/// A frame of up to this size is queued on an empty link whatever the total, so that leases and log heartbeats go
+/// through.
 const SMALL_FRAME_BYTES: usize = 16 << 10;
 
 /// The number of bytes queued for all links.
--- a/crates/rudder-gateway/src/shared.rs
+++ b/crates/rudder-gateway/src/shared.rs
@@ -256,8 +256,8 @@
         self.proof.borrow().map(Moment::elapsed)
     }
 
-    /// Estimated age of the known load of the other instances: their reports take about as long to reach the leader as the
-    /// leader's answer takes to arrive here.
+    /// Estimated age of the known load of the other instances: their reports take about as long to reach the leader as
+    /// the leader's answer takes to arrive here.
     pub fn work_age(&self) -> Duration {
         self.others_age() * 2
     }
@@ -267,8 +267,8 @@
         self.others_at.get().map(Moment::elapsed).unwrap_or_default()
     }
 
-    /// When to retry a request that was refused for lack of a proof: after the rest of the startup time, or after the time
-    /// of an election.
+    /// When to retry a request that was refused for lack of a proof: after the rest of the startup time, or after the
+    /// time of an election.
     pub fn recovery_time(&self) -> Duration {
         let recover = self.options.recovery_retry_after;
         if self.proof_age().is_some() {
@@ -348,7 +348,8 @@
         self.metrics.set_quarantined(self.contents.borrow().refused_count());
     }
 
-    /// Records which halls are evacuated. The endpoints of a hall that has returned count as cold, whatever they reported.
+    /// Records which halls are evacuated. The endpoints of a hall that has returned count as cold, whatever they
+    /// reported.
     fn apply_evacuations(&self, evacuations: &Arc<Evacuations>) {
         let returned = self.places.borrow_mut().set_evacuations(evacuations.clone());
         for hall in returned {
@@ -393,8 +394,8 @@
         ramp.try_take(&registration.endpoint, allowed, now)
     }
 
-    /// How long all endpoints that serve `route` are blocked by backoffs or exhausted rate limits; `None` if one accepts
-    /// requests.
+    /// How long all endpoints that serve `route` are blocked by backoffs or exhausted rate limits; `None` if one
+    /// accepts requests or there are none.
     pub fn blocked_for(&self, route: &Route) -> Option<Duration> {
         let now = Moment::now();
         let (roster, backoff, places) = (self.roster.borrow(), self.backoff.borrow(), self.places.borrow());
@@ -470,8 +471,9 @@
         }
     }
 
-    /// Addresses of instances for a caller: those in its hall if there are at least [`MIN_NEAR_INSTANCES`], else those in
-    /// its region, else those in the regions that all routes of its host are bound to, else those in its hall, else all.
+    /// Addresses of instances for a caller: those in its hall if there are at least [`MIN_NEAR_INSTANCES`], else those
+    /// in its region, else those in the regions that all routes of its host are bound to, else those in its hall, else
+    /// all.
     pub fn entries_for(&self, query: &EntriesQuery) -> Vec<Arc<str>> {
         let view = self.view.borrow();
         let places = self.places.borrow();
--- a/crates/rudder-gateway/src/stream.rs
+++ b/crates/rudder-gateway/src/stream.rs
@@ -1,9 +1,9 @@
 //! Forwards streams of server-sent events, and resumes them at another endpoint where the route allows it.
 //!
-//! Only complete events of a resumable stream are forwarded, so that the next endpoint can resume after the last one. Long,
-//! fast streams have their memory copied to another endpoint while they run. That endpoint resumes the stream when the first
-//! one terminates, also on routes that allow one run, since it continues the same run. A stream that breaks off and cannot be
-//! resumed closes its caller's connection, so that it does not look complete.
+//! Only complete events of a resumable stream are forwarded, so that the next endpoint can resume after the last one.
+//! Long, fast streams have their memory copied to another endpoint while they run. That endpoint resumes the stream
+//! when the first one terminates, also on routes that allow one run, since it continues the same run. A stream that
+//! breaks off and cannot be resumed closes its caller's connection, so that it does not look complete.
 
 use std::rc::Rc;
 
--- a/crates/rudder-gateway/src/upstream.rs
+++ b/crates/rudder-gateway/src/upstream.rs
@@ -1,4 +1,5 @@
-//! HTTP/1 connections to endpoints. Each carries one request at a time and is reused once the answer has been read whole.
+//! HTTP/1 connections to endpoints. Each carries one request at a time and is reused once the answer has been read
+//! whole.
 
 use std::{collections::HashMap, net::SocketAddr, time::Duration};
 
@@ -60,7 +61,8 @@
 }
 
 impl Pool {
-    /// Takes the most recently used connection that is still usable. `once` is set for a request that must run at most once.
+    /// Takes the most recently used connection that is still usable. `once` is set for a request that must run at most
+    /// once.
     pub fn take(&mut self, endpoint: &EndpointId, once: bool, now: Moment) -> Option<Connection> {
         let idle = self.idle.get_mut(endpoint)?;
         while let Some(last) = idle.pop() {
@@ -137,8 +139,8 @@
     Ok(Connection { sender, _guard: AbortOnDrop(task), carried: 0 })
 }
 
-/// Returns true if connections to `address` are refused, so that no process listens there. A timeout proves nothing, as a
-/// packet may have been lost.
+/// Returns true if connections to `address` are refused, so that no process listens there. A timeout proves nothing, as
+/// a packet may have been lost.
 pub async fn refuses_connections(address: &str) -> bool {
     let Ok(target) = address.parse::<SocketAddr>() else { return false };
     let probe = tokio::time::timeout(PROBE_TIMEOUT, TcpStream::connect(target)).await;
