--- a/crates/rudder-core/tests/single/mod.rs
+++ b/crates/rudder-core/tests/single/mod.rs
@@ -1,4 +1,4 @@
-//! One instance that is its own quorum: saves are durable at once, time is virtual.
+//! A single instance that forms a quorum by itself. Saves are durable at once, and time is virtual.
 #![allow(dead_code, reason = "each test file uses its own part")]
 
 use std::time::Duration;
@@ -10,7 +10,7 @@
 
 pub const LOAD_INTERVAL: Duration = Duration::from_secs(2);
 
-/// An order with the time at which it was given.
+/// An order and the time at which it was issued.
 #[derive(Debug)]
 pub struct Order {
     pub at: Duration,
@@ -23,14 +23,14 @@
     pub now: Duration,
     pub verdicts: Vec<(RequestId, Verdict)>,
     pub orders: Vec<Order>,
-    /// When it began to lead.
-    pub led: Duration,
-    /// What every endpoint says it has loaded.
+    /// Start of its leadership.
+    pub leader_since: Duration,
+    /// What every endpoint reports as loaded.
     pub loaded: &'static str,
 }
 
 impl SingleInstance {
-    /// An instance that leads.
+    /// Creates an instance and runs it until it leads.
     pub fn new() -> SingleInstance {
         let me =
             Me { name: "a".into(), hall: "h".into(), start: 1, address: Some("a".to_owned()), epoch: Duration::ZERO };
@@ -44,45 +44,47 @@
         };
         let now = Duration::from_secs(1);
         let state = State::new(now, me, options, Some((1, Durable::default())));
-        let mut alone = SingleInstance {
+        let mut instance = SingleInstance {
             state,
             now,
             verdicts: Vec::new(),
             orders: Vec::new(),
-            led: Duration::ZERO,
+            leader_since: Duration::ZERO,
             loaded: "m:v1",
         };
-        while alone.led.is_zero() {
-            alone.tick();
+        while instance.leader_since.is_zero() {
+            instance.tick();
         }
-        alone
+        instance
     }
 
     pub fn put(&mut self, name: &str, object: Object) {
         let (kind, name) = (object.kind(), name.to_owned());
         let change = Change { id: name.clone(), kind, name, replaces: 0, object: Some(object) };
-        self.give(Event::Admin { ticket: 1, change });
+        self.send_event(Event::Admin { ticket: 1, change });
     }
 
     fn tick(&mut self) {
         self.now += Duration::from_millis(50);
-        self.give(Event::Tick);
+        self.send_event(Event::Tick);
         let leads = self.state.control.as_ref().is_some_and(|control| control.replica.leads(self.now));
-        if leads && self.led.is_zero() {
-            self.led = self.now;
+        if leads && self.leader_since.is_zero() {
+            self.leader_since = self.now;
         }
     }
 
-    pub fn give(&mut self, event: Event) {
+    pub fn send_event(&mut self, event: Event) {
         let mut effects = Vec::new();
         self.state.reduce(self.now, event, &mut effects);
         for effect in effects {
             match effect {
-                Effect::Save { number, .. } | Effect::SaveSnapshot { number, .. } => self.give(Event::Saved { number }),
+                Effect::Save { number, .. } | Effect::SaveSnapshot { number, .. } => {
+                    self.send_event(Event::Saved { number });
+                }
                 Effect::Verdict { request, verdict } => self.verdicts.push((request, verdict)),
                 Effect::Poll { endpoint, .. } => {
                     let report = Report { loaded: self.loaded.to_owned(), ..Report::default() };
-                    self.give(Event::Polled { endpoint, report: Some(report) });
+                    self.send_event(Event::Polled { endpoint, report: Some(report) });
                 }
                 Effect::Order { fence, until, .. } => self.orders.push(Order { at: self.now, fence, until }),
                 _ => {}
@@ -98,7 +100,7 @@
     }
 }
 
-/// An engine of the one hall, with nothing behind its address.
+/// An engine of the only hall; nothing listens at its address.
 pub fn engine() -> Endpoint {
     Endpoint { hall: "h".into(), address: "127.0.0.1:9".to_owned(), serves: vec!["m".into()], ..Endpoint::default() }
 }
--- a/crates/rudder-gateway/benches/choice.rs
+++ b/crates/rudder-gateway/benches/choice.rs
@@ -1,4 +1,4 @@
-//! What a choice costs by the number of endpoints, and what is done a few times a second so that it costs no more.
+//! Cost of a choice, and of the periodic work that it depends on, by the number of endpoints.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -9,7 +9,7 @@
 use rudder_core::{Registration, peer::Load};
 use rudder_gateway::{
     Plan, Route, RouteKind, Service,
-    choose::{self, Eligibility, Field},
+    choose::{self, Candidates, Eligibility},
     dialect::{Prompt, PromptPart},
     plan::{Engine, Limits, Share},
     roster::Roster,
@@ -27,7 +27,7 @@
     divan::main();
 }
 
-/// A service with its endpoints, half of them busy, and a route of each kind.
+/// A service of which half the endpoints are busy, with a quick and a slow route.
 struct Scene {
     roster: Roster,
     loads: Vec<Load>,
@@ -38,8 +38,8 @@
     fn new(count: usize, engines: bool) -> Scene {
         let endpoints: Vec<Registration> =
             (0..count).map(|number| endpoint(number, &format!("hall-{}", number % 3))).collect();
-        let load = |held: &Registration| Load {
-            endpoint: id::endpoint_tag(&held.endpoint),
+        let load = |endpoint: &Registration| Load {
+            endpoint: id::endpoint_tag(&endpoint.endpoint),
             calls: 9,
             unread: 4_000,
             held: 60_000,
@@ -53,12 +53,12 @@
             plan: to_plan(engines),
             ..Known::default()
         };
-        known.balance.set_others(&loads);
+        known.loads.set_others(&loads);
         Scene { roster: roster(&endpoints), loads, known }
     }
 
-    fn field(&self) -> Field {
-        Field::new(self.roster.of("svc"), "svc", &self.known.inputs())
+    fn candidates(&self) -> Candidates {
+        Candidates::new(self.roster.of("svc"), "svc", &self.known.inputs())
     }
 }
 
@@ -89,7 +89,7 @@
             resumable: false,
             residency: None,
         };
-        plan.add_route(route).expect("it fits");
+        plan.add_route(route).expect("a valid route");
     }
     plan
 }
@@ -101,10 +101,10 @@
 }
 
 fn choose_on(bencher: Bencher, scene: &Scene, path: &str, prompt: Option<&Prompt>) {
-    let field = scene.field();
+    let candidates = scene.candidates();
     let route = scene.known.plan.find("h", path).expect("a route");
     bencher.bench_local(|| {
-        choose::choose(&scene.known.inputs(), route, "svc", &field, black_box(prompt), Eligibility::default())
+        choose::choose(&scene.known.inputs(), route, "svc", &candidates, black_box(prompt), Eligibility::default())
     });
 }
 
@@ -126,12 +126,12 @@
 #[divan::bench(args = ENDPOINTS)]
 fn divide_lanes(bencher: Bencher, count: usize) {
     let scene = Scene::new(count, true);
-    bencher.bench_local(|| Rc::new(scene.field()));
+    bencher.bench_local(|| Rc::new(scene.candidates()));
 }
 
 #[divan::bench(args = ENDPOINTS)]
-fn take_loads(bencher: Bencher, count: usize) {
+fn set_loads(bencher: Bencher, count: usize) {
     let mut scene = Scene::new(count, true);
     let loads = scene.loads.clone();
-    bencher.bench_local(|| scene.known.balance.set_others(black_box(&loads)));
+    bencher.bench_local(|| scene.known.loads.set_others(black_box(&loads)));
 }
--- a/crates/rudder-gateway/src/body.rs
+++ b/crates/rudder-gateway/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers to callers.
+//! Response bodies for callers.
 
 use std::{
     pin::Pin,
@@ -9,22 +9,22 @@
 use hyper::body::{Body, Frame, SizeHint};
 use tokio::sync::mpsc;
 
-/// The answer broke off: its connection ends so that it cannot look complete.
+/// The answer broke off. The caller's connection is closed, so that the answer does not look complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the answer broke off")]
-pub struct Broken;
+pub struct Interrupted;
 
-/// The body of an answer.
+/// The body of a response.
 #[derive(Debug)]
 pub enum AnswerBody {
-    /// All of it, once.
+    /// The whole body; `None` once it has been read.
     Whole(Option<Bytes>),
-    /// Parts as they come.
-    Parts(mpsc::Receiver<Result<Bytes, Broken>>),
+    /// Parts of a stream.
+    Parts(mpsc::Receiver<Result<Bytes, Interrupted>>),
 }
 
 impl AnswerBody {
-    /// A whole body.
+    /// Creates a whole body.
     pub fn whole(bytes: impl Into<Bytes>) -> AnswerBody {
         let bytes = bytes.into();
         AnswerBody::Whole((!bytes.is_empty()).then_some(bytes))
@@ -33,9 +33,9 @@
 
 impl Body for AnswerBody {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = Interrupted;
 
-    fn poll_frame(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    fn poll_frame(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Interrupted>>> {
         match self.get_mut() {
             AnswerBody::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
             AnswerBody::Parts(parts) => parts.poll_recv(context).map(|part| part.map(|part| part.map(Frame::data))),
--- a/crates/rudder-gateway/src/call/admit.rs
+++ b/crates/rudder-gateway/src/call/admit.rs
@@ -1,4 +1,4 @@
-//! Reading a request: its route, its key, its body, within the limits in force.
+//! Admission: reads a request and checks its route, key and body against the configured limits.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,23 +11,23 @@
 
 use super::{
     Call, Progress, Refusal,
-    ended::{check_not_refused, to_hex},
     refusal::{denied, not_run},
+    termination::{check_quarantine, to_hex},
 };
 use crate::{
     Dialect, Plan, Route,
+    buffers::{BodyError, BodyKind, Disconnect, read_whole},
     dialect::CallHead,
-    holdings::{Cut, Reads, Unread, read_whole},
-    places::residency_of,
+    placement::residency_of,
     shared::Shared,
 };
 
-/// A caller that named no deadline waits this long at most.
-const DEADLINE: Duration = Duration::from_secs(60);
-/// How long a request waits for proof that its route or key does not exist.
-const DENIAL_WAIT: Duration = Duration::from_millis(400);
+/// Deadline of a request that names none.
+const DEFAULT_DEADLINE: Duration = Duration::from_secs(60);
+/// How long a request waits for a proof that its route or key does not exist.
+const DENIAL_PROOF_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// What stands at a place and for a key under one plan.
+/// Finds the route of a request and the organisation that owns its key.
 fn admit(plan: &Plan, head: &CallHead, host: &str, path: &str) -> Result<(Arc<Route>, Option<usize>), Refusal> {
     let Some(route) = plan.find(host, path) else {
         return Err(denied(StatusCode::NOT_FOUND, "no route serves this place"));
@@ -39,7 +39,7 @@
     Ok((route.clone(), holder))
 }
 
-/// Reads a request and finds its route and organisation.
+/// Reads a request and admits it under a plan that is fresh enough to deny it.
 pub(super) async fn read<D: Dialect>(
     shared: &Shared<D>,
     arrived: Moment,
@@ -47,26 +47,26 @@
     head: CallHead,
     body: Incoming,
 ) -> Result<Call, Refusal> {
-    let come_back = shared.recovers_in();
-    let host = to_host(&parts);
+    let retry_after = shared.recovery_time();
+    let host = host_of(&parts);
     let path = parts.uri.path();
-    let Some(mut plan) = shared.current_plan() else { return Err(not_run("no configuration yet", come_back)) };
+    let Some(mut plan) = shared.current_plan() else { return Err(not_run("no configuration yet", retry_after)) };
     let mut admitted = admit(&plan, &head, &host, path);
-    if admitted.is_err() && !shared.is_fresh(shared.options.fresh_denial) {
-        if !shared.prove(arrived, DENIAL_WAIT).await {
-            return Err(not_run("the configuration may be old", come_back));
+    if admitted.is_err() && !shared.is_fresh(shared.options.max_denial_proof_age) {
+        if !shared.wait_for_proof(arrived, DENIAL_PROOF_TIMEOUT).await {
+            return Err(not_run("the configuration may be old", retry_after));
         }
         plan = shared.current_plan().unwrap_or(plan);
         admitted = admit(&plan, &head, &host, path);
     }
     let (route, holder) = admitted?;
     let organisation = holder.and_then(|number| plan.organisations.as_ref()?.get(number));
-    let allowed = head.deadline.unwrap_or(DEADLINE).min(route.timeout);
-    let until = arrived + allowed;
+    let allowed = head.deadline.unwrap_or(DEFAULT_DEADLINE).min(route.timeout);
+    let deadline = arrived + allowed;
     let tier = organisation.and_then(|organisation| organisation.tier).unwrap_or(route.tier);
     let residency = residency_of(&route, organisation);
     let organisation = organisation.map(|organisation| organisation.name.clone());
-    let body = read_body(shared, body, plan.limits.body, until).await?;
+    let body = read_body(shared, body, plan.limits.body, deadline).await?;
     let caller = organisation.as_deref().unwrap_or_default();
     let target = parts.uri.path_and_query().map_or(path, PathAndQuery::as_str);
     let content = content_tag(caller, parts.method.as_str(), &host, target, &body);
@@ -79,14 +79,14 @@
         proof_ms: shared.proof_age().unwrap_or_default().as_millis() as u64,
         left_ms: allowed.as_millis() as u64,
     });
-    check_not_refused(shared, content, &Progress::default())?;
+    check_quarantine(shared, content, &Progress::default())?;
     let mut headers = parts.headers;
     strip_hop_headers(&mut headers);
     let engine_rank = plan.engine_rank(&route, tier);
     Ok(Call {
         id: head.id,
         arrived,
-        until,
+        deadline,
         route,
         organisation,
         tier,
@@ -97,7 +97,7 @@
         last_event: head.last_event,
         key: head.key,
         host,
-        cut: parts.extensions.remove::<Cut>().unwrap_or_default(),
+        cut: parts.extensions.remove::<Disconnect>().unwrap_or_default(),
         method: parts.method,
         uri: parts.uri,
         headers,
@@ -105,7 +105,7 @@
     })
 }
 
-fn to_host(parts: &request::Parts) -> String {
+fn host_of(parts: &request::Parts) -> String {
     let named = parts.headers.get(header::HOST).and_then(|host| host.to_str().ok());
     let host = named.or_else(|| parts.uri.host()).unwrap_or_default();
     host.split(':').next().unwrap_or_default().to_ascii_lowercase()
@@ -115,18 +115,18 @@
     shared: &Shared<D>,
     body: Incoming,
     limit: usize,
-    until: Moment,
+    deadline: Moment,
 ) -> Result<Bytes, Refusal> {
-    match timeout_at(until, read_whole(&shared.holdings, body, limit, Reads::Request)).await {
+    match timeout_at(deadline, read_whole(&shared.buffers, body, limit, BodyKind::Request)).await {
         Ok(Ok(body)) => Ok(body),
-        Ok(Err(Unread::TooLarge)) => Err(denied(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large")),
-        Ok(Err(Unread::Broken)) => Err(denied(StatusCode::BAD_REQUEST, "the body cannot be read")),
-        Ok(Err(Unread::Full)) => Err(not_run("too much is held for others", shared.options.come_back)),
+        Ok(Err(BodyError::TooLarge)) => Err(denied(StatusCode::PAYLOAD_TOO_LARGE, "the body is too large")),
+        Ok(Err(BodyError::Broken)) => Err(denied(StatusCode::BAD_REQUEST, "the body cannot be read")),
+        Ok(Err(BodyError::Full)) => Err(not_run("too much is held for others", shared.options.retry_after)),
         Err(_) => Err(denied(StatusCode::REQUEST_TIMEOUT, "the body did not come in time")),
     }
 }
 
-/// Removes the headers that concern one connection only.
+/// Removes hop-by-hop headers.
 pub fn strip_hop_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
--- /dev/null
+++ b/crates/rudder-gateway/src/call/checks.rs
@@ -0,0 +1,93 @@
+//! Whether a request may be sent for the first time, and whether it may be retried.
+
+use std::time::Duration;
+
+use rudder_clock::Moment;
+use rudder_events::What;
+
+use super::{
+    Call, Progress, Refusal,
+    attempt::choose_endpoint,
+    refusal::{no_retry, not_run},
+    termination::{check_quarantine, is_content_suspect},
+};
+use crate::{Dialect, Route, RouteKind, choose::Choice, placement::residency_of, shared::Shared};
+
+/// Attempts beyond the route's bound that are allowed while earlier attempts did not run.
+const EXTRA_ATTEMPTS_NOT_RUN: u32 = 1;
+
+/// Takes a retry within the route's bound and from the retry budget. Takes none if no other endpoint is eligible.
+pub fn take_retry<D: Dialect>(shared: &Shared<D>, call: &Call, progress: &mut Progress) -> bool {
+    let now = Moment::now();
+    let bound = call.route.attempts.max(1);
+    if progress.possible_runs >= bound || progress.sent >= bound + EXTRA_ATTEMPTS_NOT_RUN || now >= call.deadline {
+        return false;
+    }
+    if is_content_suspect(shared, call, progress) || choose_endpoint(shared, call, progress).is_none() {
+        return false;
+    }
+    let Some(service) = progress.service.clone() else { return true };
+    let instances = shared.view.borrow().senders().count();
+    shared.budget.borrow_mut().try_take(&service, now, instances)
+}
+
+/// Takes a retry for an attempt whose endpoint is silent. The retry is limited to endpoints without a rate limit: a
+/// denied permit would refuse a request that its first endpoint may still answer.
+pub fn take_retry_for_silent<D: Dialect>(shared: &Shared<D>, call: &Call, progress: &mut Progress) -> bool {
+    let before = std::mem::replace(&mut progress.unlimited_only, true);
+    let taken = take_retry(shared, call, progress);
+    progress.unlimited_only = taken || before;
+    taken
+}
+
+/// Refuses a stream of the lowest priority if the prompts queued at its best engine would make it miss its target by
+/// far, and delay the streams behind it.
+pub(super) fn check_expected_wait<D: Dialect>(shared: &Shared<D>, call: &Call, choice: &Choice) -> Result<(), Refusal> {
+    let Some(plan) = shared.current_plan() else { return Ok(()) };
+    let hopeless = shared.options.policy.guard.hopeless;
+    if call.route.kind != RouteKind::Stream || call.prompt.is_none() || !plan.is_lowest(&call.route, &choice.service) {
+        return Ok(());
+    }
+    let wait = expected_wait(shared, choice);
+    if hopeless == 0.0 || wait <= call.route.target.mul_f64(hopeless) {
+        return Ok(());
+    }
+    shared.log.write(What::CallHopeless {
+        request: call.id.clone(),
+        endpoint: choice.endpoint.clone(),
+        ahead: choice.ahead,
+        wait_ms: wait.as_millis() as u64,
+        target_ms: call.route.target.as_millis() as u64,
+    });
+    Err(not_run("its engines have too much to read", wait.saturating_sub(call.route.target / 2)))
+}
+
+/// Estimates how long an engine takes for the prompts queued ahead.
+pub(super) fn expected_wait<D: Dialect>(shared: &Shared<D>, choice: &Choice) -> Duration {
+    shared.prefill.borrow().time_for(&choice.service, choice.ahead)
+}
+
+/// Checks the key, the route and the quarantine again right before a request is sent, as they may have changed
+/// meanwhile.
+pub(super) fn check_still_allowed<D: Dialect>(
+    shared: &Shared<D>,
+    call: &Call,
+    progress: &Progress,
+) -> Result<(), Refusal> {
+    let retry_after = shared.options.recovery_retry_after;
+    let refusal = |why| no_retry(progress, why, retry_after);
+    if !shared.is_fresh(shared.options.max_proof_age) {
+        return Err(refusal("the configuration may be old"));
+    }
+    let Some(plan) = shared.current_plan() else { return Err(refusal("no configuration yet")) };
+    let organisation = call.key.as_deref().and_then(|key| plan.organisation_of(key));
+    if plan.organisations.is_some() && !call.route.open && organisation.is_none() {
+        return Err(refusal("the key was taken away"));
+    }
+    let is_same =
+        |route: &Route| route.shares == call.route.shares && residency_of(route, organisation) == call.residency;
+    if !plan.find(&call.host, call.uri.path()).is_some_and(|route| is_same(route)) {
+        return Err(refusal("the route has changed"));
+    }
+    check_quarantine(shared, call.content, progress)
+}
--- a/crates/rudder-gateway/src/call/copies.rs
+++ b/crates/rudder-gateway/src/call/copies.rs
@@ -1,4 +1,4 @@
-//! Going on from a copy of a request's memory when its endpoint has ended.
+//! Resumes a stream from a copy of its memory (its KV cache) after its endpoint has terminated.
 
 use std::rc::Rc;
 
@@ -6,34 +6,34 @@
 use rudder_model::Ran;
 
 use super::{
-    Call, Leg, Progress, Resume,
-    attempt::{connect, log_failure, note_outcome, send_on},
-    ended::is_risky,
-    limit::take_permit,
-    permit::check_still_allowed,
+    Call, EndpointAnswer, Progress, ResumePoint,
+    attempt::{connect, log_failure, record_outcome, send_over},
+    checks::check_still_allowed,
+    rate_limit::take_permit,
+    termination::is_content_suspect,
 };
 use crate::{Dialect, choose::Choice, health::Outcome, shared::Shared};
 
-/// Goes on with a stream whose endpoint has ended, at the endpoint that keeps a copy of its memory. This counts
-/// as the same run, also on routes whose requests run at most once; so this is called only when the first endpoint has
-/// ended: one that can still be reached may have only broken off, and may be at work still. Before the first whole event there is
-/// no copy to go on from.
-pub async fn go_on_from_copy<D: Dialect>(
+/// Resumes a stream at the endpoint that holds a copy of its memory.
+///
+/// This continues the same run, also on routes whose requests run at most once. Call it only once the first endpoint
+/// has terminated: an endpoint that is still reachable may still be running the request. There is no copy before the
+/// first complete event.
+pub async fn resume_from_copy<D: Dialect>(
     shared: &Rc<Shared<D>>,
     call: &Call,
     progress: &mut Progress,
     last_event: u64,
-) -> Option<Leg> {
-    if is_risky(shared, call, progress) {
+) -> Option<EndpointAnswer> {
+    if is_content_suspect(shared, call, progress) {
         return None;
     }
-    let before = progress.last.take()?;
-    let keeper = before.keeper.as_ref()?;
-    note_outcome(shared, &before.endpoint, Outcome::Unreachable);
-    let work = shared.balance.borrow().at(&keeper.endpoint);
-    if work.calls >= keeper.slots {
-        // What goes on from a copy is let in first, so that a full engine would preempt another for it, be that one
-        // more urgent.
+    let before = progress.last_choice.take()?;
+    let backup = before.backup.as_ref()?;
+    record_outcome(shared, &before.endpoint, Outcome::Unreachable);
+    let work = shared.loads.borrow().at(&backup.endpoint);
+    if work.calls >= backup.slots {
+        // A full engine admits a resumed request by preempting another one, whatever its priority.
         log_failure(shared, call, progress, &before, "the engine that keeps its copy is full", Ran::Unknown);
         return None;
     }
@@ -42,25 +42,25 @@
         return None;
     }
     let choice = Choice {
-        endpoint: keeper.endpoint.clone(),
-        born: keeper.born,
-        address: keeper.address.clone(),
+        endpoint: backup.endpoint.clone(),
+        born: backup.born,
+        address: backup.address.clone(),
         calls: work.calls,
         ahead: work.unread,
         unread: 0,
-        keeper: None,
+        backup: None,
         fetch_from: None,
         ..before.clone()
     };
     let permit = take_permit(shared, call, &choice).await.ok()?;
     let connection = connect(shared, call, &choice).await.ok()?;
     check_still_allowed(shared, call, progress).ok()?;
-    let from = Resume { last_event: Some(last_event), copy: true };
-    let leg = send_on(shared, call, progress, (choice, permit), connection, from).await.ok()?;
-    if leg.response.status().is_success() && !leg.head.not_run {
-        shared.metrics.note_resume();
-        return Some(leg);
+    let resume = ResumePoint { last_event: Some(last_event), from_copy: true };
+    let answer = send_over(shared, call, progress, (choice, permit), connection, resume).await.ok()?;
+    if answer.response.status().is_success() && !answer.head.not_run {
+        shared.metrics.record_resume();
+        return Some(answer);
     }
-    log_failure(shared, call, progress, &leg.choice, "it keeps no copy", Ran::No);
+    log_failure(shared, call, progress, &answer.choice, "it keeps no copy", Ran::No);
     None
 }
--- a/crates/rudder-gateway/src/call/mod.rs
+++ b/crates/rudder-gateway/src/call/mod.rs
@@ -1,27 +1,26 @@
-//! One request of a caller, from its head to the end of its answer.
+//! The life of a caller's request, from its head to the end of its answer.
 //!
-//! Everything said about "not run" is decided here, from what was sent: a request counts as not run
-//! only while nothing was written for it, or while each endpoint it was sent to said that it did not
-//! run it. [`Progress`] keeps count for the whole request, and only a count of none leads to a refusal
-//! that promises it.
+//! This module decides whether an answer may state that the request was not run: only if no attempt
+//! wrote anything, or if every endpoint that received the request reported that it did not run it.
+//! [`Progress::possible_runs`] counts the attempts for which this does not hold.
 //!
-//! - [`admit`]: reading a request, its route and its key;
-//! - [`send`]: the loop over endpoints, and the answer;
-//! - [`permit`]: whether it may be sent, for the first time and once more;
-//! - [`attempt`]: one endpoint, from the choice to the head of its answer;
-//! - [`limit`]: permits for endpoints that have a rate limit;
-//! - [`copies`]: going on elsewhere, from a copy of its memory, with a stream whose endpoint has ended;
-//! - [`ended`]: endpoints that end under requests;
-//! - [`refusal`]: final answers of the instance itself.
+//! - [`admit`]: reads a request and checks its route and key;
+//! - [`send`]: the retry loop over endpoints;
+//! - [`checks`]: whether a request may be sent or retried;
+//! - [`attempt`]: one attempt, from the choice of an endpoint to the head of its answer;
+//! - [`rate_limit`]: permits for endpoints that have a rate limit;
+//! - [`copies`]: resumes a stream from a copy of its memory after its endpoint has terminated;
+//! - [`termination`]: endpoints that terminate during a request;
+//! - [`refusal`]: error answers of the instance itself.
 
 pub mod admit;
 pub mod attempt;
+pub mod checks;
 pub mod copies;
-pub mod ended;
-pub mod limit;
-pub mod permit;
+pub mod rate_limit;
 pub mod refusal;
 pub mod send;
+pub mod termination;
 
 use std::{rc::Rc, sync::Arc, time::Duration};
 
@@ -34,64 +33,66 @@
 use rudder_model::{ContentTag, EndpointId, id::name_of};
 
 pub use admit::strip_hop_headers;
-pub use attempt::{attempt, log_failure, note_outcome, put_back};
-pub use copies::go_on_from_copy;
-pub use ended::{note_answered, note_if_ended, to_hex};
-pub use permit::{may_give_up, may_send_again};
+pub use attempt::{attempt, log_failure, record_outcome, return_connection};
+pub use checks::{take_retry, take_retry_for_silent};
+pub use copies::resume_from_copy;
 pub use refusal::Refusal;
-pub use send::may_go_on;
+pub use send::take_retry_after;
+pub use termination::{record_answered, record_if_terminated, to_hex};
 
 use crate::{
     Dialect, Route, RouteKind,
-    balance::Flight,
     body::AnswerBody,
+    buffers::Disconnect,
     choose::Choice,
     dialect::{AnswerHead, CallHead, Forward, Prompt},
-    holdings::Cut,
-    metrics::Ending,
-    places::Residency,
+    loads::InFlight,
+    metrics::RequestOutcome,
+    placement::Residency,
     shared::{Shared, Stage},
     upstream::Connection,
 };
 
-/// An endpoint may be silent for this many times the target of a route, and at least for this long, before
-/// a request that may be repeated is sent to another.
-const PATIENCE: u32 = 2;
-const LEAST: Duration = Duration::from_millis(150);
-/// The same for streams, whose prompts may have to be read again.
-const STREAM_PATIENCE: u32 = 3;
-const STREAM_LEAST: Duration = Duration::from_millis(1200);
+/// Silence of an endpoint, as a multiple of the route's target, after which a repeatable request is sent to another
+/// one.
+const SILENCE_FACTOR: u32 = 2;
+/// Lower bound of the timeout that follows from [`SILENCE_FACTOR`].
+const MIN_SILENCE_TIMEOUT: Duration = Duration::from_millis(150);
+/// As [`SILENCE_FACTOR`], for streams: a retry may repeat the prefill.
+const STREAM_SILENCE_FACTOR: u32 = 3;
+/// As [`MIN_SILENCE_TIMEOUT`], for streams.
+const MIN_STREAM_SILENCE_TIMEOUT: Duration = Duration::from_millis(1200);
 
-/// A request that a stopping instance no longer takes can go to another at once.
-const ELSEWHERE: Duration = Duration::from_millis(20);
+/// `Retry-After` of a stopping instance: another instance can serve the request at once.
+const STOPPING_RETRY_AFTER: Duration = Duration::from_millis(20);
 
-/// A request that has been read and may be sent.
+/// An admitted request.
 #[derive(Debug)]
 pub struct Call {
-    /// The caller's id of it.
+    /// The id that the caller gave it.
     pub id: String,
     /// When its head was read.
     pub arrived: Moment,
-    /// When it is given up.
-    pub until: Moment,
+    /// When it is abandoned.
+    pub deadline: Moment,
     /// Its route.
     pub route: Arc<Route>,
-    /// The organisation that holds its key.
+    /// The organisation that owns its key.
     pub organisation: Option<Arc<str>>,
-    /// Its rank.
+    /// Its priority; 0 is the highest.
     pub tier: u8,
-    /// Its rank among an engine's requests.
+    /// Its priority within an engine.
     pub engine_rank: u8,
-    /// The engine's work.
+    /// Its prompt, if an engine serves it.
     pub prompt: Option<Prompt>,
-    /// What its caller asks for, in short: the same when it comes again under another id.
+    /// Digest of its content, which a repetition under another id shares.
     pub content: ContentTag,
-    /// Where it may be run and kept.
+    /// The regions in which it may be processed.
     pub residency: Residency,
-    /// Last event that the caller had when it asked.
+    /// Last event that the caller had received when it sent the request.
     pub last_event: Option<u64>,
-    /// Ends its caller's connection.
-    pub cut: Cut,
+    /// Closes the caller's connection.
+    pub cut: Disconnect,
     key: Option<String>,
     host: String,
     method: Method,
@@ -100,83 +101,81 @@
     body: Bytes,
 }
 
-/// An attempt that an endpoint answered.
+/// An endpoint's answer, of which only the head has been read.
 #[derive(Debug)]
-pub struct Leg {
-    /// Where it went.
+pub struct EndpointAnswer {
+    /// The endpoint that answered.
     pub choice: Choice,
-    /// The answer.
+    /// The response; its body is still to be read.
     pub response: Response<Incoming>,
-    /// What its head says.
+    /// The fields of its head.
     pub head: AnswerHead,
-    /// The connection that it came on.
+    /// The connection that carries it.
     pub connection: Connection,
-    /// Its count at the endpoint.
-    pub flight: Flight,
-    /// When it was sent.
+    /// Counts the request as in flight at the endpoint.
+    pub flight: InFlight,
+    /// When the request was sent.
     pub sent: Moment,
-    /// It goes on with a run that began elsewhere.
-    pub continued: bool,
+    /// The endpoint resumed from a copy, so the run counts as begun.
+    pub resumed: bool,
 }
 
-/// How an attempt failed.
+/// Why an attempt failed.
 #[derive(Debug)]
 pub enum Failure {
     /// Nothing was sent.
-    Unsent(&'static str),
-    /// It was sent, and what became of it is unknown.
-    Lost(&'static str),
-    /// It was sent and nothing came for so long that it was given up for another attempt, whose right is
-    /// already taken.
-    Silent,
-    /// Time ran out while it was under way.
-    Late,
+    NotSent(&'static str),
+    /// The request was sent, and whether it ran is unknown.
+    OutcomeUnknown(&'static str),
+    /// The endpoint stayed silent past the timeout; a retry has already been taken from the budget.
+    Unresponsive,
+    /// The deadline passed while the request was in flight.
+    DeadlineExceeded,
 }
 
-/// From where an endpoint takes a request up.
+/// Where an endpoint resumes a request.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Resume {
-    /// After this event, which the caller has.
+pub struct ResumePoint {
+    /// Last event that the caller has received.
     pub last_event: Option<u64>,
-    /// From the copy of the request's memory that the endpoint keeps.
-    pub copy: bool,
+    /// The endpoint resumes from the copy of the request's memory that it holds.
+    pub from_copy: bool,
 }
 
-/// What has become of a request so far.
+/// The attempts made for a request so far.
 #[derive(Debug, Default)]
 pub struct Progress {
-    /// Endpoints that it went to or that could not be reached.
+    /// Endpoints that were tried, including unreachable ones.
     pub tried: Vec<EndpointId>,
-    /// Times that it was sent.
+    /// Attempts that were sent.
     pub sent: u32,
-    /// Of these, the times that it ran or may have run.
-    pub ran: u32,
-    /// Where it was sent last.
-    pub last: Option<Choice>,
-    /// It has begun to run at an endpoint, and counts as one request of its organisation however often it does again.
+    /// Sent attempts that ran or may have run.
+    pub possible_runs: u32,
+    /// The endpoint of the last attempt.
+    pub last_choice: Option<Choice>,
+    /// An endpoint has begun to run it. Retries do not count again towards the organisation's usage.
     pub begun: bool,
-    /// Endpoints that ended under it.
-    pub ended: usize,
-    unsent: u32,
-    /// It goes to endpoints without a rate limit alone.
-    unlimited: bool,
-    chosen: Option<Arc<str>>,
+    /// Endpoints that terminated while they served it.
+    pub terminated_endpoints: usize,
+    unsent_attempts: u32,
+    /// Only endpoints without a rate limit are eligible.
+    unlimited_only: bool,
+    service: Option<Arc<str>>,
 }
 
-/// Counts a request as open while it lives. One that ends without an answer was dropped by the server
-/// library, because its caller left.
-struct Open<D: Dialect> {
+/// Counts a request as open until it is dropped. The HTTP server drops it unanswered when its caller disconnects.
+struct OpenRequest<D: Dialect> {
     shared: Rc<Shared<D>>,
     id: String,
     arrived: Moment,
     answered: bool,
 }
 
-impl<D: Dialect> Drop for Open<D> {
+impl<D: Dialect> Drop for OpenRequest<D> {
     fn drop(&mut self) {
-        self.shared.open.set(self.shared.open.get() - 1);
+        self.shared.open_requests.set(self.shared.open_requests.get() - 1);
         if !self.answered {
-            self.shared.metrics.note_end(None, Ending::Left, self.arrived.elapsed());
+            self.shared.metrics.record_end(None, RequestOutcome::CallerLeft, self.arrived.elapsed());
             self.shared.log.write(What::Left { request: std::mem::take(&mut self.id) });
         }
     }
@@ -185,15 +184,15 @@
 /// Serves one request.
 pub async fn handle<D: Dialect>(shared: Rc<Shared<D>>, request: Request<Incoming>) -> Response<AnswerBody> {
     let arrived = Moment::now();
-    shared.open.set(shared.open.get() + 1);
+    shared.open_requests.set(shared.open_requests.get() + 1);
     let (parts, body) = request.into_parts();
     let head = shared.dialect.read_call(&parts);
     let id = head.id.clone();
-    let mut open = Open { shared: shared.clone(), id: id.clone(), arrived, answered: false };
+    let mut open = OpenRequest { shared: shared.clone(), id: id.clone(), arrived, answered: false };
     let read = match *shared.stage.borrow() {
-        // It came while its connection was being closed.
-        Stage::Closing => Err(refusal::not_run("the instance is stopping", ELSEWHERE)),
-        Stage::Serving | Stage::Leaving => Ok(()),
+        // The request arrived while its connection was being closed.
+        Stage::Closing => Err(refusal::not_run("the instance is stopping", STOPPING_RETRY_AFTER)),
+        Stage::Serving | Stage::Draining => Ok(()),
     };
     let answer = match read {
         Ok(()) => admit_and_send(&shared, arrived, parts, head, body).await,
@@ -201,7 +200,7 @@
     };
     open.answered = true;
     answer.unwrap_or_else(|refusal| {
-        shared.metrics.note_end(None, Ending::Refused, arrived.elapsed());
+        shared.metrics.record_end(None, RequestOutcome::Refused, arrived.elapsed());
         refusal::refuse(&shared, &id, &refusal)
     })
 }
@@ -218,11 +217,15 @@
 }
 
 impl Call {
-    /// How long an endpoint may be silent before another one is tried, where the request may be repeated.
-    pub fn patience(&self) -> Duration {
+    /// How long an endpoint may stay silent before a repeatable request is sent to another one.
+    pub fn silence_timeout(&self) -> Duration {
         let streams = self.route.kind == RouteKind::Stream;
-        let (factor, least) = if streams { (STREAM_PATIENCE, STREAM_LEAST) } else { (PATIENCE, LEAST) };
-        (self.route.target * factor).max(least)
+        let (factor, min) = if streams {
+            (STREAM_SILENCE_FACTOR, MIN_STREAM_SILENCE_TIMEOUT)
+        } else {
+            (SILENCE_FACTOR, MIN_SILENCE_TIMEOUT)
+        };
+        (self.route.target * factor).max(min)
     }
 
     fn to_request<D: Dialect>(
@@ -230,7 +233,7 @@
         dialect: &D,
         choice: &Choice,
         left: Duration,
-        from: Resume,
+        resume: ResumePoint,
     ) -> Request<Full<Bytes>> {
         let mut headers = self.headers.clone();
         let tier = self.prompt.is_some().then_some(self.engine_rank);
@@ -240,29 +243,29 @@
             remaining: left,
             organisation,
             tier,
-            last_event: from.last_event,
-            copy_to: choice.keeper.as_ref().map(|keeper| &*keeper.address),
-            fetch_from: choice.fetch_from.as_deref().filter(|_| !from.copy),
-            resume_from: from.copy.then_some(&*choice.address),
+            last_event: resume.last_event,
+            copy_to: choice.backup.as_ref().map(|backup| &*backup.address),
+            fetch_from: choice.fetch_from.as_deref().filter(|_| !resume.from_copy),
+            resume_from: resume.from_copy.then_some(&*choice.address),
         };
         dialect.write_forward(&mut headers, &forward);
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
-        *request.uri_mut() = to_origin(&self.uri);
+        *request.uri_mut() = to_origin_form(&self.uri);
         *request.headers_mut() = headers;
         request
     }
 }
 
-/// Counts a request that began to run at an endpoint at `at`, the first time that it does.
-pub fn note_begun<D: Dialect>(shared: &Shared<D>, call: &Call, progress: &mut Progress, at: Moment) {
+/// Counts a request towards usage the first time that an endpoint begins to run it.
+pub fn record_begun<D: Dialect>(shared: &Shared<D>, call: &Call, progress: &mut Progress, at: Moment) {
     if !std::mem::replace(&mut progress.begun, true) {
-        shared.note_begun(call.organisation.as_ref(), at);
+        shared.record_begun(call.organisation.as_ref(), at);
     }
 }
 
-/// Path and query alone, as they go to an endpoint.
-fn to_origin(uri: &Uri) -> Uri {
+/// Reduces a URI to path and query.
+fn to_origin_form(uri: &Uri) -> Uri {
     let path = uri.path_and_query().cloned();
     path.map_or_else(Uri::default, Uri::from)
 }
--- a/crates/rudder-gateway/src/call/limit.rs
+++ b/crates/rudder-gateway/src/call/rate_limit.rs
@@ -15,10 +15,10 @@
     shared::{Reply, Shared},
 };
 
-/// Takes the right to send a request to the endpoint chosen, where that has a rate limit; `None` where it has none.
+/// Takes a permit for a request to the chosen endpoint. Returns `None` if the endpoint has no rate limit.
 ///
 /// # Errors
-/// Why it may not be sent there.
+/// Returns why the request may not be sent there.
 pub(super) async fn take_permit<D: Dialect>(
     shared: &Shared<D>,
     call: &Call,
@@ -29,18 +29,18 @@
     if let Some(permit) = shared.limits.borrow_mut().take_spare(endpoint, tier, asked) {
         return Ok(Some(permit));
     }
-    let (ticket, reply) = shared.tickets.draw();
-    shared.tell(Event::AskPermit { ticket, request });
+    let (ticket, reply) = shared.tickets.issue();
+    shared.send_event(Event::AskPermit { ticket, request });
     let Ok(Reply::Permit(answer)) = reply.await else { return Err("the control thread has ended") };
     match answer {
         PermitAnswer::Granted(count) => {
-            shared.metrics.note_permit(PermitOutcome::Granted);
+            shared.metrics.record_permit(PermitOutcome::Granted);
             Ok(Some(shared.limits.borrow_mut().take_granted(endpoint, tier, count, asked)))
         }
         PermitAnswer::Denied(retry) => {
-            shared.metrics.note_permit(PermitOutcome::Denied);
+            shared.metrics.record_permit(PermitOutcome::Denied);
             shared.limits.borrow_mut().record_denial(endpoint, Moment::now() + retry);
-            shared.fields.borrow_mut().clear();
+            shared.candidate_cache.borrow_mut().clear();
             Err("its rate limit is used up")
         }
     }
@@ -50,6 +50,8 @@
     let limits = shared.limits.borrow();
     let limit = limits.report(&choice.endpoint, now)?;
     let roster = shared.roster.borrow();
-    let hall = roster.get(&choice.endpoint).map_or_else(|| shared.options.hall.clone(), |held| held.hall.clone());
+    let hall = roster
+        .get(&choice.endpoint)
+        .map_or_else(|| shared.options.hall.clone(), |registration| registration.hall.clone());
     Some(PermitRequest { limit, hall, tier: call.tier, wanted: limits.wanted(&choice.endpoint, now) })
 }
--- a/crates/rudder-gateway/src/call/ended.rs
+++ b/crates/rudder-gateway/src/call/termination.rs
@@ -1,29 +1,29 @@
-//! Endpoints that end under requests: what is held against their contents, and what is no longer sent for it.
+//! Endpoints that terminate while they serve a request, and the quarantine of the contents involved.
 
 use rudder_clock::Moment;
 use rudder_core::Event;
 use rudder_events::What;
 use rudder_model::ContentTag;
 
-use super::{Call, Progress, Refusal, refusal::stopped};
+use super::{Call, Progress, Refusal, refusal::no_retry};
 use crate::{Dialect, choose::Choice, shared::Shared, upstream};
 
-/// A request is not sent again once this many endpoints have ended under its content: at the next one it would be refused.
-const RESEND_BOUND: usize = 2;
+/// A request is not retried once this many endpoints have terminated while serving its content.
+const MAX_TERMINATED_ENDPOINTS: usize = 2;
 
-/// Looks whether the endpoint whose connection broke off under `call` has ended, and takes it in if so.
-pub async fn note_if_ended<D: Dialect>(
+/// Checks whether the endpoint whose connection broke during `call` has terminated, and records it if so.
+pub async fn record_if_terminated<D: Dialect>(
     shared: &Shared<D>,
     call: &Call,
     progress: &mut Progress,
     choice: &Choice,
 ) -> bool {
-    if !shared.is_replaced(&choice.endpoint) && !upstream::has_ended(&choice.address).await {
+    if !shared.is_replaced(&choice.endpoint) && !upstream::refuses_connections(&choice.address).await {
         shared.contents.borrow_mut().note_broken(call.content, &choice.endpoint);
         return false;
     }
-    progress.ended += 1;
-    shared.metrics.note_ended_under();
+    progress.terminated_endpoints += 1;
+    shared.metrics.record_ended_under();
     shared.log.write(What::EndedUnder {
         request: call.id.clone(),
         endpoint: choice.endpoint.clone(),
@@ -31,29 +31,30 @@
     });
     let findings = shared.contents.borrow().note_ended(call.content, &choice.endpoint);
     if let Some(findings) = findings {
-        shared.tell(Event::Findings(findings));
+        shared.send_event(Event::Findings(findings));
     }
     true
 }
 
-/// Records that an endpoint answered a request whole.
-pub fn note_answered<D: Dialect>(shared: &Shared<D>, call: &Call) {
+/// Records that an endpoint answered a request completely, and reports it if endpoints terminated while serving its
+/// content.
+pub fn record_answered<D: Dialect>(shared: &Shared<D>, call: &Call) {
     let findings = shared.contents.borrow_mut().note_answered(call.content, Moment::now());
     if let Some(findings) = findings {
-        shared.tell(Event::Findings(findings));
+        shared.send_event(Event::Findings(findings));
     }
 }
 
-/// True where so many endpoints have ended under the content of `call` that another one is not risked for it.
-pub(super) fn is_risky<D: Dialect>(shared: &Shared<D>, call: &Call, progress: &Progress) -> bool {
+/// Returns true if too many endpoints have terminated while serving the content of `call` to retry it.
+pub(super) fn is_content_suspect<D: Dialect>(shared: &Shared<D>, call: &Call, progress: &Progress) -> bool {
     if !shared.options.policy.guard.quarantine {
         return false;
     }
-    shared.contents.borrow().ended_count(call.content).max(progress.ended) >= RESEND_BOUND
+    shared.contents.borrow().ended_count(call.content).max(progress.terminated_endpoints) >= MAX_TERMINATED_ENDPOINTS
 }
 
 /// Refuses a request whose content is in quarantine.
-pub(super) fn check_not_refused<D: Dialect>(
+pub(super) fn check_quarantine<D: Dialect>(
     shared: &Shared<D>,
     content: ContentTag,
     progress: &Progress,
@@ -62,10 +63,10 @@
         return Ok(());
     }
     let Some(left) = shared.contents.borrow().refused_for(content, Moment::now()) else { return Ok(()) };
-    Err(stopped(progress, "endpoints have ended under it", left))
+    Err(no_retry(progress, "endpoints have ended under it", left))
 }
 
-/// A content as it stands in logs.
+/// Formats a content tag for logs.
 pub fn to_hex(content: ContentTag) -> String {
     format!("{content:016x}")
 }
--- /dev/null
+++ b/crates/rudder-gateway/src/choose/candidates.rs
@@ -0,0 +1,153 @@
+//! The candidate endpoints of one service, divided into lanes.
+//!
+//! Filtering and dividing the endpoints takes time linear in their number, so the result is cached for a moment instead
+//! of computed for each request.
+
+use std::{collections::HashMap, rc::Rc, sync::Arc, time::Duration};
+
+use rudder_clock::Moment;
+use rudder_core::{Phase, Registration};
+use rudder_model::id;
+
+use super::Inputs;
+use crate::{
+    lanes::{self, Lanes},
+    roster::Roster,
+    slow_start::Allowance,
+};
+
+/// Longest time that candidates are cached: the division into lanes depends on in-flight work, which changes with each
+/// request.
+const MAX_AGE: Duration = Duration::from_millis(200);
+
+/// A set of endpoints to choose from.
+#[derive(Debug, Default)]
+pub struct Lane {
+    /// The endpoints, in the order of their rank.
+    pub endpoints: Vec<Arc<Registration>>,
+    /// The endpoints in this instance's own hall.
+    pub local: Vec<Arc<Registration>>,
+    /// The endpoints in slow start that this instance may send to. They are sampled separately, as a sample of all
+    /// endpoints would rarely include them.
+    pub warming: Vec<Arc<Registration>>,
+    /// Rendezvous hash key of each endpoint.
+    keys: Vec<u64>,
+}
+
+impl Lane {
+    fn new(endpoints: Vec<Arc<Registration>>, inputs: &Inputs) -> Lane {
+        let local = endpoints.iter().filter(|endpoint| endpoint.hall == *inputs.hall).cloned().collect();
+        let is_warming = |endpoint: &&Arc<Registration>| inputs.allowance(endpoint) != Allowance::Unlimited;
+        let warming = endpoints.iter().filter(is_warming).cloned().collect();
+        let keys = endpoints.iter().map(|registration| id::node_key(&registration.endpoint)).collect();
+        Lane { endpoints, local, warming, keys }
+    }
+
+    /// The `COUNT` endpoints with the largest rendezvous weights for `key`, in descending order, without those that
+    /// `skip` selects.
+    pub fn top_ranked<const COUNT: usize>(
+        &self,
+        key: u64,
+        skip: impl Fn(&Registration) -> bool,
+    ) -> Vec<Arc<Registration>> {
+        let key = id::number_key(key);
+        let mut best: [Option<(u64, usize)>; COUNT] = [None; COUNT];
+        let mut min_weight = 0;
+        for (index, node) in self.keys.iter().enumerate() {
+            let weight = id::rendezvous_key(key, *node);
+            // The cheap comparison comes first: it rejects nearly all endpoints.
+            if weight < min_weight || skip(&self.endpoints[index]) {
+                continue;
+            }
+            let mut entry = Some((weight, index));
+            for slot in &mut best {
+                if entry > *slot {
+                    std::mem::swap(slot, &mut entry);
+                }
+            }
+            min_weight = best[COUNT - 1].map_or(0, |(weight, _)| weight);
+        }
+        best.into_iter().flatten().map(|(_, index)| self.endpoints[index].clone()).collect()
+    }
+}
+
+/// The candidate endpoints of one service.
+#[derive(Debug, Default)]
+pub struct Candidates {
+    /// Healthy endpoints reserved for quick streams; empty if the service has no quick lane.
+    pub quick: Lane,
+    /// All other healthy endpoints.
+    pub bulk: Lane,
+    /// Silent and ejected endpoints, used only if there are no others.
+    pub fallback: Lane,
+    expires: Option<Moment>,
+}
+
+impl Candidates {
+    /// Computes the candidates of `service` from its endpoints.
+    pub fn new(endpoints: &[Arc<Registration>], service: &str, inputs: &Inputs) -> Candidates {
+        let is_ejected = |registration: &Registration| inputs.health.is_ejected(&registration.endpoint, inputs.now);
+        let is_healthy =
+            |registration: &Arc<Registration>| registration.phase == Phase::Ready && !is_ejected(registration);
+        // Endpoints that this instance must not use are in no lane.
+        let is_usable = |registration: &&Arc<Registration>| {
+            inputs.placement.is_open(&registration.hall)
+                && inputs.allowance(registration) != Allowance::Denied
+                && !inputs.backoff.is_blocked(&registration.endpoint, inputs.now)
+                && inputs.limits.retry_at(&registration.endpoint, inputs.now).is_none()
+        };
+        let usable = endpoints.iter().filter(is_usable).cloned();
+        let (healthy, unhealthy): (Vec<_>, Vec<_>) = usable.partition(is_healthy);
+        let fallback = unhealthy.into_iter().filter(|registration| registration.phase <= Phase::Silent).collect();
+        let lanes = to_lanes(inputs, service, healthy);
+        let retry_at = |registration: &Arc<Registration>| {
+            let times = [
+                inputs.health.retry_at(&registration.endpoint, inputs.now),
+                inputs.backoff.retry_at(&registration.endpoint, inputs.now),
+                inputs.limits.retry_at(&registration.endpoint, inputs.now),
+            ];
+            times.into_iter().flatten().min()
+        };
+        let earliest_retry = endpoints.iter().filter_map(retry_at).min();
+        let max_expiry = inputs.now + MAX_AGE;
+        Candidates {
+            quick: Lane::new(lanes.quick, inputs),
+            bulk: Lane::new(lanes.bulk, inputs),
+            fallback: Lane::new(fallback, inputs),
+            expires: Some(earliest_retry.unwrap_or(max_expiry).min(max_expiry)),
+        }
+    }
+}
+
+/// Divides the healthy endpoints if the service has both quick and other routes.
+fn to_lanes(inputs: &Inputs, service: &str, healthy: Vec<Arc<Registration>>) -> Lanes<Arc<Registration>> {
+    let policy = &inputs.policy.lanes;
+    if !policy.enabled || lanes::quick_bound(policy, inputs.plan, service, inputs.prefill).is_none() {
+        return Lanes { quick: Vec::new(), bulk: healthy };
+    }
+    lanes::divide(policy, healthy, service, inputs.loads)
+}
+
+/// Recently computed candidates by service.
+#[derive(Debug, Default)]
+pub struct CandidateCache {
+    cached: HashMap<Arc<str>, Rc<Candidates>>,
+}
+
+impl CandidateCache {
+    /// Drops all entries, after a change of the state that they depend on.
+    pub fn clear(&mut self) {
+        self.cached.clear();
+    }
+
+    /// The candidates of a service, computed if there is no valid entry.
+    pub fn of(&mut self, service: &Arc<str>, roster: &Roster, inputs: &Inputs) -> Rc<Candidates> {
+        let is_valid = |candidates: &&Rc<Candidates>| candidates.expires.is_some_and(|expires| inputs.now < expires);
+        if let Some(candidates) = self.cached.get(service).filter(is_valid) {
+            return candidates.clone();
+        }
+        let candidates = Rc::new(Candidates::new(roster.of(service), service, inputs));
+        self.cached.insert(service.clone(), candidates.clone());
+        candidates
+    }
+}
--- a/crates/rudder-gateway/src/driver.rs
+++ b/crates/rudder-gateway/src/driver.rs
@@ -1,4 +1,4 @@
-//! The control thread: it owns the reducer, and turns its effects into notices for traffic.
+//! The control thread: it owns the reducer and turns its effects into notices for the traffic thread.
 
 use std::{
     sync::{Arc, atomic::Ordering},
@@ -19,75 +19,75 @@
 
 use crate::{
     Options,
-    duty::Errand,
+    duty::DutyTask,
     logging::Log,
-    metrics::Standing,
-    shared::{Published, Reply},
+    metrics::ControlStatus,
+    shared::{PublishedView, Reply},
 };
 
 /// Time between ticks of the reducer.
-const TICK: Duration = Duration::from_millis(50);
-/// Bytes of commands in the log that make a snapshot due.
-const SNAPSHOT: u64 = 512 << 10;
-/// Entries kept before the snapshot for followers that lag a little.
-const KEEP: u64 = 4;
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// Bytes of log commands after which a snapshot is taken.
+const SNAPSHOT_BYTES: u64 = 512 << 10;
+/// Log entries kept before the snapshot, for followers that lag slightly.
+const SNAPSHOT_KEEP_ENTRIES: u64 = 4;
 
-/// Heartbeats that an endpoint may miss before it is shown as silent: one may be lost with the instance that it went to.
-const HEARTBEATS_MISSED: u32 = 2;
-/// A heartbeat may come this much late.
-const HEARTBEAT_LATE: Duration = Duration::from_millis(2600);
+/// Heartbeats that an endpoint may miss before it counts as silent; one may be lost with the instance that received it.
+const MAX_MISSED_HEARTBEATS: u32 = 2;
+/// Tolerated delay of a heartbeat.
+const MAX_HEARTBEAT_DELAY: Duration = Duration::from_millis(2600);
 
-/// Entries in messages that may wait for the traffic thread, some 200 bytes each: about as much as may wait for links.
-const BACKLOG_MOST: usize = 60_000;
-/// A message of so many entries goes out whatever waits: leases and the log go on by such.
-const LIGHT: usize = 16;
+/// Message entries, of about 200 bytes each, that may be queued for the traffic thread: about as much as for all links.
+const MAX_BACKLOG_ENTRIES: usize = 60_000;
+/// A message of up to this many entries is queued whatever the backlog, so that leases and log heartbeats go through.
+const SMALL_MESSAGE_ENTRIES: usize = 16;
 
-/// Something for the traffic thread.
+/// A message to the traffic thread.
 #[derive(Debug)]
 pub enum Notice {
     /// Send a message to another instance.
     Send(InstanceId, PeerMessage),
     /// The view changed.
-    Published(Box<Published>),
-    /// The work of the other instances at endpoints, where it has changed, and when it was so.
+    Published(Box<PublishedView>),
+    /// The load of the other instances at endpoints as of this time; `None` if it has not changed.
     Others(Option<Vec<Load>>, Moment),
     /// The rate limits of endpoints, as of this time.
     Limits(Vec<LimitReport>, Moment),
-    /// The view is proved the newest as of this time.
+    /// The view is proved to be the newest as of this time.
     Proved(Moment),
-    /// Somebody's ticket is answered.
+    /// The reply to a ticket.
     Reply(u64, Reply),
-    /// Make a call that only the holder of a duty makes.
-    Errand(Box<Errand>),
+    /// Make a call of the holder of a duty.
+    DutyCall(Box<DutyTask>),
 }
 
-/// The control thread's state around the reducer's.
+/// State of the control thread.
 pub struct Driver {
     state: State,
     epoch: Moment,
     notices: UnboundedSender<Vec<Notice>>,
     disk: Option<Sender<Job>>,
     log: Log,
-    edition: u64,
-    works: u64,
-    limits: u64,
+    view_edition: u64,
+    others_edition: u64,
+    limits_edition: u64,
     others_at: Option<Duration>,
     proved: Option<Duration>,
     endpoints: Vec<Arc<Registration>>,
     batch: Vec<Notice>,
-    standing: Arc<Standing>,
-    /// Origin of the time of day that the reducer was told last.
-    clock: Duration,
+    status: Arc<ControlStatus>,
+    /// The wall-clock time at `epoch` that was last reported to the reducer.
+    clock_origin: Duration,
     handover: Duration,
 }
 
-/// Opens the disk and prepares the reducer.
+/// Opens the data folder and creates the reducer.
 ///
 /// # Errors
-/// When the data folder cannot be opened or its thread not be started.
+/// Fails if the data folder cannot be opened or the disk thread cannot be started.
 pub fn prepare(
     options: &Options,
-    inputs: &Sender<Event>,
+    events: &Sender<Event>,
     notices: UnboundedSender<Vec<Notice>>,
     log: Log,
 ) -> Result<Driver> {
@@ -98,13 +98,13 @@
         hall: options.hall.clone(),
         start: rand::random(),
         address: options.listeners.callers.map(|callers| callers.to_string()),
-        epoch: to_origin(epoch),
+        epoch: wall_clock_at(epoch),
     };
-    let clock = me.epoch;
+    let clock_origin = me.epoch;
     let handover = options.duties.as_ref().map(|duties| duties.core.handover).unwrap_or_default();
-    let (disk, durable) = open_disk(options, &name, inputs)?;
+    let (disk, durable) = open_disk(options, &name, events)?;
     log.write(What::Started { hall: me.hall.clone(), start: me.start });
-    let state = State::new(epoch.elapsed(), me, to_core(options), durable);
+    let state = State::new(epoch.elapsed(), me, core_options(options), durable);
     let endpoints = Vec::new();
     Ok(Driver {
         state,
@@ -112,64 +112,64 @@
         notices,
         disk,
         log,
-        edition: 0,
-        works: 0,
-        limits: 0,
+        view_edition: 0,
+        others_edition: 0,
+        limits_edition: 0,
         others_at: None,
         proved: None,
         endpoints,
         batch: Vec::new(),
-        standing: Arc::default(),
-        clock,
+        status: Arc::default(),
+        clock_origin,
         handover,
     })
 }
 
-/// The time of day at `epoch`, by the clock of this machine as it stands now.
-fn to_origin(epoch: Moment) -> Duration {
+/// Converts `epoch` to wall-clock time by the current clock of this machine.
+fn wall_clock_at(epoch: Moment) -> Duration {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     now.saturating_sub(epoch.elapsed())
 }
 
 type Disk = (Option<Sender<Job>>, Option<(ReplicaId, Durable)>);
 
-fn open_disk(options: &Options, name: &str, inputs: &Sender<Event>) -> Result<Disk> {
+fn open_disk(options: &Options, name: &str, events: &Sender<Event>) -> Result<Disk> {
     let Some(folder) = &options.data else { return Ok((None, None)) };
     let outcome = rudder_store::open(folder, name, rand::random()).wrap_err("open the data folder")?;
     let (sender, jobs) = unbounded();
-    let (store, inputs) = (outcome.store, inputs.clone());
+    let (store, events) = (outcome.store, events.clone());
     let run = move || {
         disk::run(store, &jobs, |report| {
             let event = match report {
                 Report::Saved(number) => Event::Saved { number },
                 Report::Full => Event::DiskFull,
             };
-            inputs.send(event).is_ok()
+            events.send(event).is_ok()
         });
     };
     std::thread::Builder::new().name("disk".to_owned()).spawn(run).wrap_err("start the disk thread")?;
     Ok((Some(sender), Some((outcome.id, outcome.durable))))
 }
 
-fn to_core(options: &Options) -> rudder_core::Options {
+fn core_options(options: &Options) -> rudder_core::Options {
     rudder_core::Options {
         seeds: options.seeds.clone(),
         founders: if options.bootstrap { options.seeds.clone() } else { Vec::new() },
-        watch_interval: options.watch,
-        freshness_bound: options.max_proof_age,
+        watch_interval: options.poll_interval,
+        max_proof_age: options.max_proof_age,
         liveness_timeout: Duration::from_millis(800),
-        entries_ttl: options.keep,
-        snapshot_bytes: SNAPSHOT,
-        silence_timeout: options.heartbeat * HEARTBEATS_MISSED + HEARTBEAT_LATE,
+        entries_ttl: options.entries_ttl,
+        snapshot_bytes: SNAPSHOT_BYTES,
+        silence_timeout: options.heartbeat * MAX_MISSED_HEARTBEATS + MAX_HEARTBEAT_DELAY,
         tree: options.policy.relays.clone(),
-        duties: to_duties(options),
+        duties: duty_options(options),
         replica: rudder_replica::Options {
             heartbeat: Duration::from_millis(75),
             election: Duration::from_millis(400),
             lease: Duration::from_millis(300),
             replace: Duration::from_millis(1500),
             voters: options.voters,
-            keep: KEEP,
+            keep: SNAPSHOT_KEEP_ENTRIES,
             seed: rand::random(),
             ..rudder_replica::Options::default()
         },
@@ -177,62 +177,62 @@
     }
 }
 
-/// The duties of the settings, with what the policy says of them.
-fn to_duties(options: &Options) -> DutyOptions {
+/// The duties of the settings, with the scaling options of the policy.
+fn duty_options(options: &Options) -> DutyOptions {
     let Some(duties) = &options.duties else { return DutyOptions::default() };
     let scaling = duties.core.scaling.as_ref().map(|_| options.policy.scaling.clone());
     DutyOptions { scaling, ..duties.core.clone() }
 }
 
 impl Driver {
-    /// Where the replica stands, for the metrics.
-    pub fn standing(&self) -> Arc<Standing> {
-        self.standing.clone()
+    /// The status that the thread updates, for the traffic thread.
+    pub fn status(&self) -> Arc<ControlStatus> {
+        self.status.clone()
     }
 
-    /// When the process started, as the reducer counts time.
+    /// When the process started: the zero of the reducer's time.
     pub fn epoch(&self) -> Moment {
         self.epoch
     }
 
-    /// Tells the reducer when the clock of this machine has stepped.
-    fn note_clock(&mut self) {
-        let origin = to_origin(self.epoch);
-        if origin.abs_diff(self.clock) >= clock::STEP {
-            self.clock = origin;
+    /// Reports steps of this machine's wall clock to the reducer.
+    fn check_clock(&mut self) {
+        let origin = wall_clock_at(self.epoch);
+        if origin.abs_diff(self.clock_origin) >= clock::STEP {
+            self.clock_origin = origin;
             self.reduce(Event::ClockStepped(origin));
         }
     }
 
-    fn note_standing(&self) {
-        self.standing.untold.store(self.state.unreported_requests(), Ordering::Relaxed);
+    fn update_status(&self) {
+        self.status.unreported_requests.store(self.state.unreported_requests(), Ordering::Relaxed);
         let Some(control) = &self.state.control else { return };
         let replica = &control.replica;
-        self.standing.term.store(replica.term(), Ordering::Relaxed);
-        self.standing.leads.store(replica.leads(self.epoch.elapsed()), Ordering::Relaxed);
+        self.status.term.store(replica.term(), Ordering::Relaxed);
+        self.status.is_leader.store(replica.leads(self.epoch.elapsed()), Ordering::Relaxed);
         let duty_until = control.duty_until(self.epoch.elapsed(), self.handover).unwrap_or_default();
-        self.standing.duty_until.store(duty_until.as_micros() as u64, Ordering::Relaxed);
-        self.standing.windows.store(control.ledger.usage.closed().len() as u64, Ordering::Relaxed);
-        self.standing.late.store(control.ledger.usage.late(), Ordering::Relaxed);
-        self.standing.commit.store(replica.commit(), Ordering::Relaxed);
-        self.standing.last.store(replica.last_index(), Ordering::Relaxed);
+        self.status.duty_until.store(duty_until.as_micros() as u64, Ordering::Relaxed);
+        self.status.unreported_windows.store(control.ledger.usage.closed().len() as u64, Ordering::Relaxed);
+        self.status.late_requests.store(control.ledger.usage.late(), Ordering::Relaxed);
+        self.status.commit_index.store(replica.commit(), Ordering::Relaxed);
+        self.status.last_index.store(replica.last_index(), Ordering::Relaxed);
     }
 
     /// Runs until the instance ends.
-    pub fn run(mut self, inputs: &Receiver<Event>) {
+    pub fn run(mut self, events: &Receiver<Event>) {
         let mut next = Moment::now();
         loop {
-            match inputs.recv_timeout(next.saturating_duration_since(Moment::now())) {
+            match events.recv_timeout(next.saturating_duration_since(Moment::now())) {
                 Ok(event) => self.reduce(event),
                 Err(RecvTimeoutError::Disconnected) => return,
                 Err(RecvTimeoutError::Timeout) => {}
             }
-            // A flood of inputs must not keep time from advancing.
+            // Ticks must go on while events keep arriving.
             if Moment::now() >= next {
-                self.note_clock();
+                self.check_clock();
                 self.reduce(Event::Tick);
-                self.note_standing();
-                next = Moment::now() + TICK;
+                self.update_status();
+                next = Moment::now() + TICK_INTERVAL;
             }
         }
     }
@@ -250,13 +250,13 @@
         }
     }
 
-    /// Tells traffic of a newer view first and of its proof after it.
+    /// Queues notices of changes in the view; the proof of a view follows the view.
     fn publish(&mut self) {
         let view = &self.state.view;
-        if view.revision != self.edition {
-            self.edition = view.revision;
+        if view.revision != self.view_edition {
+            self.view_edition = view.revision;
             let endpoints: Vec<Arc<Registration>> = view.registry.used_in(&self.state.me.hall).cloned().collect();
-            let published = Published {
+            let published = PublishedView {
                 document: view.document.clone(),
                 endpoints: endpoints.clone(),
                 entries: view.directory.values().cloned().collect(),
@@ -269,12 +269,12 @@
         }
         let view = &self.state.view;
         if let Some(at) = view.remote_loads_at().filter(|at| Some(*at) != self.others_at) {
-            let changed = view.load_revision != self.works;
-            (self.works, self.others_at) = (view.load_revision, Some(at));
+            let changed = view.load_revision != self.others_edition;
+            (self.others_edition, self.others_at) = (view.load_revision, Some(at));
             self.batch.push(Notice::Others(changed.then(|| view.remote_loads.clone()), self.epoch + at));
         }
-        if view.limits.edition() != self.limits {
-            self.limits = view.limits.edition();
+        if view.limits.edition() != self.limits_edition {
+            self.limits_edition = view.limits.edition();
             let now = self.epoch.elapsed();
             let reports = view.limits.reports(now).collect();
             self.batch.push(Notice::Limits(reports, self.epoch + now));
@@ -304,9 +304,9 @@
             Effect::Permitted { ticket, answer } => self.batch.push(Notice::Reply(ticket, Reply::Permit(answer))),
             Effect::Log(what) => self.log.write(what),
             Effect::Call { ticket, fence, age, call } => {
-                self.batch.push(Notice::Errand(Box::new(Errand { ticket, fence, age, call })));
+                self.batch.push(Notice::DutyCall(Box::new(DutyTask { ticket, fence, age, call })));
             }
-            // Requests are decided on the traffic thread, which also says when a planned stop is complete.
+            // The traffic thread handles requests and completes a planned stop itself.
             Effect::Verdict { .. }
             | Effect::Admin { .. }
             | Effect::Poll { .. }
@@ -315,12 +315,12 @@
         }
     }
 
-    /// Hands a message to traffic, unless that is so far behind that what waits would take the memory: who needs it asks again.
+    /// Queues a message for the traffic thread, or drops it if the backlog is too large. Its sender resends if needed.
     fn send(&mut self, to: InstanceId, message: PeerMessage) {
         let weight = message.weight();
-        let backlog = &self.standing.backlog;
-        if weight > LIGHT && backlog.load(Ordering::Relaxed) + weight > BACKLOG_MOST {
-            self.standing.left_out.fetch_add(1, Ordering::Relaxed);
+        let backlog = &self.status.backlog;
+        if weight > SMALL_MESSAGE_ENTRIES && backlog.load(Ordering::Relaxed) + weight > MAX_BACKLOG_ENTRIES {
+            self.status.dropped_messages.fetch_add(1, Ordering::Relaxed);
             return;
         }
         backlog.fetch_add(weight, Ordering::Relaxed);
@@ -334,15 +334,15 @@
     }
 }
 
-/// Logs the endpoints that came, went or stand elsewhere now. Both lists are in the order of their ids, and what has not
-/// changed is the same in both.
+/// Logs the endpoints that were added, removed or changed phase. Both lists are ordered by id and share unchanged
+/// entries.
 fn log_endpoints(log: &Log, before: &[Arc<Registration>], after: &[Arc<Registration>]) {
-    let write = |held: &Registration, phase: String| {
+    let write = |registration: &Registration, phase: String| {
         log.write(What::Endpoint {
-            endpoint: held.endpoint.clone(),
-            service: held.service.clone(),
+            endpoint: registration.endpoint.clone(),
+            service: registration.service.clone(),
             phase,
-            sequence: held.sequence,
+            sequence: registration.sequence,
         });
     };
     let mut old = before.iter().peekable();
--- a/crates/rudder-gateway/src/head_clock.rs
+++ b/crates/rudder-gateway/src/head_timer.rs
@@ -1,7 +1,6 @@
-//! A bound on the time that a request's head takes, apart from the time that a connection may rest.
+//! A timeout for reading a request's head, separate from the idle timeout of the connection.
 //!
-//! The HTTP library has one timer for both. This one starts with the first byte of a head and ends when
-//! the library hands the head over.
+//! hyper has one timer for both. This one starts with the first byte of a head and stops when hyper has parsed it.
 
 use std::{
     cell::Cell,
@@ -15,37 +14,37 @@
 use rudder_clock::Moment;
 use tokio::sync::Notify;
 
-/// Where a connection stands between heads.
+/// Tracks whether a connection is reading a head, and since when.
 #[derive(Debug, Default)]
-pub struct HeadClock {
+pub struct HeadTimer {
     began: Cell<Option<Moment>>,
-    /// A request is being served: what comes in is its body, or a head that waits its turn.
+    /// A request is being served, so incoming bytes are its body or a pipelined head.
     serving: Cell<bool>,
     started: Notify,
 }
 
-impl HeadClock {
-    /// Records that bytes came.
-    fn note_bytes(&self) {
+impl HeadTimer {
+    /// Starts the timer if the bytes that arrived begin a head.
+    fn on_bytes(&self) {
         if !self.serving.get() && self.began.get().is_none() {
             self.began.set(Some(Moment::now()));
             self.started.notify_one();
         }
     }
 
-    /// Records that a head was handed over.
-    pub fn note_head(&self) {
+    /// Stops the timer, as a head has been parsed.
+    pub fn on_head(&self) {
         self.began.set(None);
         self.serving.set(true);
     }
 
-    /// Records that a request was answered.
-    pub fn note_answer(&self) {
+    /// Records that a request has been answered.
+    pub fn on_answer(&self) {
         self.serving.set(false);
     }
 
-    /// Returns once a head has taken longer than `bound`.
-    pub async fn overrun(&self, bound: Duration) {
+    /// Waits until reading a head has taken longer than `bound`.
+    pub async fn expired(&self, bound: Duration) {
         loop {
             self.started.notified().await;
             let Some(began) = self.began.get() else { continue };
@@ -57,36 +56,36 @@
     }
 }
 
-/// A connection that tells a [`HeadClock`] when bytes come.
+/// A connection that notifies a [`HeadTimer`] of incoming bytes.
 #[derive(Debug)]
-pub struct Clocked<T> {
+pub struct TimedIo<T> {
     inner: T,
-    clock: Rc<HeadClock>,
+    timer: Rc<HeadTimer>,
 }
 
-impl<T> Clocked<T> {
-    /// Watches `inner` for `clock`.
-    pub fn new(inner: T, clock: Rc<HeadClock>) -> Clocked<T> {
-        Clocked { inner, clock }
+impl<T> TimedIo<T> {
+    /// Wraps `inner` and notifies `timer`.
+    pub fn new(inner: T, timer: Rc<HeadTimer>) -> TimedIo<T> {
+        TimedIo { inner, timer }
     }
 }
 
-impl<T: Read + Unpin> Read for Clocked<T> {
+impl<T: Read + Unpin> Read for TimedIo<T> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         buffer: ReadBufCursor<'_>,
     ) -> Poll<std::io::Result<()>> {
         let polled = Pin::new(&mut self.inner).poll_read(context, buffer);
-        // An end of the connection counts as bytes too; then there is nothing left to bound.
+        // The end of the connection starts the timer too, which is harmless.
         if matches!(polled, Poll::Ready(Ok(()))) {
-            self.clock.note_bytes();
+            self.timer.on_bytes();
         }
         polled
     }
 }
 
-impl<T: Write + Unpin> Write for Clocked<T> {
+impl<T: Write + Unpin> Write for TimedIo<T> {
     fn poll_write(mut self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<std::io::Result<usize>> {
         Pin::new(&mut self.inner).poll_write(context, bytes)
     }
--- a/crates/rudder-gateway/src/logging.rs
+++ b/crates/rudder-gateway/src/logging.rs
@@ -1,8 +1,8 @@
-//! The log: one JSON object a line on standard output, bounded and never waited for.
+//! The log: one JSON object per line on standard output, rate-limited and non-blocking.
 //!
-//! A budget of lines a second leaves out routine lines first; lines on failures, refusals and changes of
-//! state have a reserve. A writer thread takes lines from a bounded queue, so a full pipe or a reader
-//! that has stopped costs lines, never time. What was left out is counted and said once a second.
+//! A budget of lines per second drops routine lines first; failures, refusals and state changes have a reserve. A
+//! thread writes the lines from a bounded queue, so a full pipe drops lines but never blocks. Dropped lines are
+//! counted, and the count is logged once a second.
 
 use std::{
     cell::Cell,
@@ -20,14 +20,14 @@
 use rudder_events::{Line, What};
 use rudder_model::InstanceId;
 
-/// Lines that wait to be written.
-const WAITING: usize = 256;
-/// Lines are written together this often.
-const GATHER: Duration = Duration::from_millis(50);
-/// Part of the budget that routine lines may use.
-const ROUTINE: f64 = 0.6;
+/// Capacity of the queue in lines.
+const QUEUE_LINES: usize = 256;
+/// Time over which lines are gathered into one write.
+const WRITE_INTERVAL: Duration = Duration::from_millis(50);
+/// Share of the budget that routine lines may use.
+const ROUTINE_SHARE: f64 = 0.6;
 
-/// Where lines go; every thread has its own with a budget of its own.
+/// Writes log lines; each thread has its own, with its own budget.
 #[derive(Debug)]
 pub struct Log {
     instance: InstanceId,
@@ -36,19 +36,19 @@
     budget: u32,
     second: Cell<u64>,
     used: Cell<u32>,
-    left_out: Cell<u64>,
+    over_budget: Cell<u64>,
     blocked: Arc<AtomicU64>,
 }
 
-/// True for lines that are left out first.
+/// Returns true for lines that are dropped first.
 pub fn is_routine(what: &What) -> bool {
     matches!(what, What::CallTaken { .. } | What::CallSent { .. } | What::CallAnswered { .. } | What::Left { .. })
 }
 
 impl Log {
-    /// A log of `budget` lines a second that writes to `writer` on a thread of its own.
+    /// Starts a log of `budget` lines per second, with a thread that writes to `writer`.
     pub fn start(instance: InstanceId, budget: u32, writer: impl Write + Send + 'static) -> Log {
-        let (lines, receiver) = bounded(WAITING);
+        let (lines, receiver) = bounded(QUEUE_LINES);
         thread::spawn(move || run(writer, &receiver));
         Log {
             instance,
@@ -57,12 +57,12 @@
             budget,
             second: Cell::new(0),
             used: Cell::new(0),
-            left_out: Cell::new(0),
+            over_budget: Cell::new(0),
             blocked: Arc::default(),
         }
     }
 
-    /// The same log for another thread.
+    /// Creates a log for another thread, with the same writer and its own budget.
     #[must_use]
     pub fn fork(&self) -> Log {
         Log {
@@ -72,36 +72,36 @@
             budget: self.budget,
             second: Cell::new(0),
             used: Cell::new(0),
-            left_out: Cell::new(0),
+            over_budget: Cell::new(0),
             blocked: self.blocked.clone(),
         }
     }
 
-    /// Lines left out by this thread's budget in this second, and blocked since the last said.
+    /// Lines dropped since the last report: by this thread's budget, and by a full queue.
     pub fn dropped(&self) -> (u64, u64) {
-        (self.left_out.get(), self.blocked.load(Ordering::Relaxed))
+        (self.over_budget.get(), self.blocked.load(Ordering::Relaxed))
     }
 
-    /// Writes a line, or counts it as left out.
+    /// Writes a line, or drops and counts it.
     pub fn write(&self, what: What) {
         let uptime = self.started.elapsed();
-        self.turn_second(uptime);
-        let share = if is_routine(&what) { ROUTINE } else { 1.0 };
+        self.start_second(uptime);
+        let share = if is_routine(&what) { ROUTINE_SHARE } else { 1.0 };
         if f64::from(self.used.get()) >= f64::from(self.budget) * share {
-            self.left_out.set(self.left_out.get() + 1);
+            self.over_budget.set(self.over_budget.get() + 1);
             return;
         }
         self.used.set(self.used.get() + 1);
         self.send(uptime, what);
     }
 
-    fn turn_second(&self, uptime: Duration) {
+    fn start_second(&self, uptime: Duration) {
         if self.second.get() == uptime.as_secs() {
             return;
         }
         self.second.set(uptime.as_secs());
         self.used.set(0);
-        let (budget, blocked) = (self.left_out.take(), self.blocked.swap(0, Ordering::Relaxed));
+        let (budget, blocked) = (self.over_budget.take(), self.blocked.swap(0, Ordering::Relaxed));
         if budget + blocked > 0 {
             self.send(uptime, What::Dropped { budget, blocked });
         }
@@ -119,14 +119,14 @@
 fn run(mut writer: impl Write, lines: &Receiver<Line>) {
     let mut bytes = Vec::new();
     while let Ok(first) = lines.recv() {
-        thread::sleep(GATHER);
+        thread::sleep(WRITE_INTERVAL);
         bytes.clear();
         for line in std::iter::once(first).chain(lines.try_iter()) {
             if serde_json::to_writer(&mut bytes, &line).is_ok() {
                 bytes.push(b'\n');
             }
         }
-        // Nobody may read any more; there is nowhere left to say so.
+        // Standard output may be closed, and there is nowhere else to report that.
         let _ = writer.write_all(&bytes).and_then(|()| writer.flush());
     }
 }
--- a/crates/rudder-gateway/src/metrics.rs
+++ b/crates/rudder-gateway/src/metrics.rs
@@ -1,6 +1,6 @@
-//! Counters, gauges and latency histograms, in the usual text form.
+//! Counters, gauges and latency histograms in the `OpenMetrics` text format.
 //!
-//! Labels are few and bounded: kinds of route, outcomes, and endpoints that are known now.
+//! Label sets are small and bounded: kinds of route, outcomes and the endpoints known now.
 
 use std::{
     cell::RefCell,
@@ -22,200 +22,199 @@
 
 use crate::{Dialect, RouteKind, plan::Route, shared::Shared};
 
-/// Bounds of latencies in seconds; the targets of routes lie between them.
-const BOUNDS: [f64; 12] = [0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.42, 0.8, 1.2, 2.5, 5.0, 15.0];
-/// Bytes of a page, for the figures of the system on memory.
-const PAGE: i64 = 4096;
+/// Histogram buckets of latencies in seconds; they cover the targets of routes.
+const LATENCY_BUCKETS: [f64; 12] = [0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.42, 0.8, 1.2, 2.5, 5.0, 15.0];
+/// Bytes per page in `/proc/self/statm`.
+const PAGE_SIZE: i64 = 4096;
 
-/// Where the replica of this instance stands; written by the control thread.
+/// Status of the control thread and the replica, written by the control thread and read by the traffic thread.
 #[derive(Debug, Default)]
-pub struct Standing {
-    /// Its term; 0 without a disk.
+pub struct ControlStatus {
+    /// The replica's term; 0 without a disk.
     pub term: AtomicU64,
-    /// It leads.
-    pub leads: AtomicBool,
-    /// Until when it holds the duties without a further look, in microseconds since the process started; 0 where it
-    /// holds none.
+    /// The replica is the leader.
+    pub is_leader: AtomicBool,
+    /// End of this instance's lease on the duties, in microseconds since the process started; 0 without a lease.
     pub duty_until: AtomicU64,
-    /// Closed windows of usage whose report is not acknowledged.
-    pub windows: AtomicU64,
-    /// Requests told after their window was closed, in no report.
-    pub late: AtomicU64,
-    /// Requests that began here and that the log does not hold yet.
-    pub untold: AtomicU64,
-    /// Index up to which its log is committed.
-    pub commit: AtomicU64,
-    /// Index of the last entry of its log.
-    pub last: AtomicU64,
-    /// Entries in messages that wait for the traffic thread.
+    /// Closed usage windows whose report is not acknowledged yet.
+    pub unreported_windows: AtomicU64,
+    /// Requests reported after their usage window was closed, which no report contains.
+    pub late_requests: AtomicU64,
+    /// Requests begun here that are not yet committed to the log.
+    pub unreported_requests: AtomicU64,
+    /// Commit index of the log.
+    pub commit_index: AtomicU64,
+    /// Index of the last log entry.
+    pub last_index: AtomicU64,
+    /// Message entries queued for the traffic thread.
     pub backlog: AtomicUsize,
-    /// Messages left out as too much waited.
-    pub left_out: AtomicU64,
+    /// Messages dropped because the backlog was full.
+    pub dropped_messages: AtomicU64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Ended {
+struct RequestLabels {
     kind: &'static str,
     tier: u8,
     outcome: &'static str,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Kind {
+struct KindLabel {
     kind: &'static str,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Why {
+struct ReasonLabel {
     why: &'static str,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Duty {
+struct DutyLabels {
     duty: &'static str,
     outcome: &'static str,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Permits {
+struct PermitLabel {
     outcome: &'static str,
 }
 
-/// What the holder of an endpoint's rate limit answered.
+/// The answer of the holder of an endpoint's rate limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PermitOutcome {
-    /// It may be sent.
+    /// The request may be sent.
     Granted,
-    /// It may not, or the holder did not answer.
+    /// The request may not be sent, or the holder did not answer.
     Denied,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct At {
+struct EndpointLabel {
     endpoint: String,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct Peer {
+struct PeerLabels {
     fate: &'static str,
     message: &'static str,
 }
 
-/// What became of a frame between instances.
+/// The outcome of a frame between instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PeerFrame {
-    /// Handed to its link.
+pub enum FrameOutcome {
+    /// Queued on its link.
     Sent,
-    /// Taken in.
+    /// Received and passed to the reducer.
     Received,
-    /// Dropped, as too much waited already.
+    /// Dropped because a queue was full.
     Dropped,
 }
 
-/// Messages and bytes between instances, by kind of message.
+/// Metrics of messages between instances, by kind of message.
 #[derive(Clone, Debug, Default)]
-pub struct PeerFigures {
-    frames: Family<Peer, Counter>,
-    bytes: Family<Peer, Counter>,
-    waiting: Gauge,
-    most: Gauge,
+pub struct PeerMetrics {
+    frames: Family<PeerLabels, Counter>,
+    bytes: Family<PeerLabels, Counter>,
+    queued: Gauge,
+    peak: Gauge,
 }
 
-impl PeerFigures {
-    /// Counts a frame of `size` bytes that carried a message of the kind `message`.
-    pub fn note(&self, frame: PeerFrame, message: &'static str, size: usize) {
+impl PeerMetrics {
+    /// Counts a frame of `size` bytes that carries a message of the kind `message`.
+    pub fn record(&self, frame: FrameOutcome, message: &'static str, size: usize) {
         let fate = match frame {
-            PeerFrame::Sent => "sent",
-            PeerFrame::Received => "received",
-            PeerFrame::Dropped => "dropped",
+            FrameOutcome::Sent => "sent",
+            FrameOutcome::Received => "received",
+            FrameOutcome::Dropped => "dropped",
         };
-        let label = Peer { fate, message };
+        let label = PeerLabels { fate, message };
         self.frames.get_or_create(&label).inc();
         self.bytes.get_or_create(&label).inc_by(size as u64);
     }
 
-    /// Records how many bytes wait for links, and the most that ever did.
-    pub fn note_waiting(&self, bytes: usize, most: usize) {
-        self.waiting.set((bytes as u64).cast_signed());
-        self.most.set((most as u64).cast_signed());
+    /// Sets the number of bytes queued for links and its peak.
+    pub fn record_queued(&self, bytes: usize, peak: usize) {
+        self.queued.set((bytes as u64).cast_signed());
+        self.peak.set((peak as u64).cast_signed());
     }
 
     fn register(&self, registry: &mut Registry) {
         registry.register("peer_frames", "Frames between instances, by fate and message", self.frames.clone());
         registry.register("peer_bytes", "Bytes between instances, by fate and message", self.bytes.clone());
-        registry.register("peer_waiting_bytes", "Bytes that wait for links to instances", self.waiting.clone());
-        registry.register("peer_waiting_most_bytes", "Most bytes that ever waited so", self.most.clone());
+        registry.register("peer_waiting_bytes", "Bytes that wait for links to instances", self.queued.clone());
+        registry.register("peer_waiting_most_bytes", "Most bytes that ever waited so", self.peak.clone());
     }
 }
 
-/// How a request ended, for its callers.
+/// The outcome of a request for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
-    /// Answered whole.
+pub enum RequestOutcome {
+    /// Answered completely.
     Answered,
     /// Refused or failed by the instance itself.
     Refused,
-    /// Broken off on the way.
-    Cut,
-    /// Its caller left.
-    Left,
+    /// Interrupted after the answer had begun.
+    Interrupted,
+    /// The caller disconnected.
+    CallerLeft,
 }
 
-/// All figures of one instance.
+/// All metrics of an instance.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
-    requests: Family<Ended, Counter>,
-    refusals: Family<Why, Counter>,
+    requests: Family<RequestLabels, Counter>,
+    refusals: Family<ReasonLabel, Counter>,
     attempts: Counter,
     retries: Counter,
     resumes: Counter,
     ejections: Counter,
-    rests: Counter,
-    limits: Counter,
-    permits: Family<Permits, Counter>,
+    backoffs: Counter,
+    limit_changes: Counter,
+    permits: Family<PermitLabel, Counter>,
     ended_under: Counter,
     held_back: Counter,
-    words: Family<Why, Counter>,
-    duties: Family<Duty, Counter>,
-    first: Family<Kind, Histogram>,
-    total: Family<Kind, Histogram>,
+    refused_reports: Family<ReasonLabel, Counter>,
+    duties: Family<DutyLabels, Counter>,
+    first_byte: Family<KindLabel, Histogram>,
+    total: Family<KindLabel, Histogram>,
     pauses: Histogram,
-    /// Messages between instances.
-    pub peers: PeerFigures,
+    /// Metrics of messages between instances.
+    pub peers: PeerMetrics,
     state: RefCell<Gauges>,
 }
 
 #[derive(Debug, Default)]
 struct Gauges {
-    open: Gauge,
-    idle: Gauge,
+    open_requests: Gauge,
+    idle_connections: Gauge,
     ready: Gauge,
-    version: Gauge,
-    proof: Gauge,
+    document_version: Gauge,
+    proof_age: Gauge,
     term: Gauge,
-    leads: Gauge,
-    lag: Gauge,
-    holds: Gauge,
-    windows: Gauge,
-    late: Gauge,
-    left_out: Gauge,
+    is_leader: Gauge,
+    commit_lag: Gauge,
+    holds_duties: Gauge,
+    unreported_windows: Gauge,
+    late_requests: Gauge,
+    dropped_messages: Gauge,
     instances: Gauge,
-    memory: Gauge,
-    dropped: Gauge,
-    quarantined: Gauge,
-    evacuated: Gauge,
-    limited: Gauge,
-    held: Gauge,
+    resident_bytes: Gauge,
+    dropped_lines: Gauge,
+    quarantined_contents: Gauge,
+    evacuated_halls: Gauge,
+    limited_endpoints: Gauge,
+    held_bytes: Gauge,
     held_peak: Gauge,
-    held_most: Gauge,
-    calls: Family<At, Gauge>,
-    unread: Family<At, Gauge>,
+    held_limit: Gauge,
+    endpoint_calls: Family<EndpointLabel, Gauge>,
+    unread_tokens: Family<EndpointLabel, Gauge>,
 }
 
 impl Default for Metrics {
     fn default() -> Self {
-        let histogram: fn() -> Histogram = || Histogram::new(BOUNDS);
+        let histogram: fn() -> Histogram = || Histogram::new(LATENCY_BUCKETS);
         let mut metrics = Metrics {
             registry: Registry::with_prefix("hatchrudder"),
             requests: Family::default(),
@@ -224,17 +223,17 @@
             retries: Counter::default(),
             resumes: Counter::default(),
             ejections: Counter::default(),
-            rests: Counter::default(),
-            limits: Counter::default(),
+            backoffs: Counter::default(),
+            limit_changes: Counter::default(),
             permits: Family::default(),
             ended_under: Counter::default(),
             held_back: Counter::default(),
-            words: Family::default(),
+            refused_reports: Family::default(),
             duties: Family::default(),
-            first: Family::new_with_constructor(histogram),
+            first_byte: Family::new_with_constructor(histogram),
             total: Family::new_with_constructor(histogram),
             pauses: histogram(),
-            peers: PeerFigures::default(),
+            peers: PeerMetrics::default(),
             state: RefCell::default(),
         };
         metrics.register();
@@ -242,8 +241,8 @@
     }
 }
 
-/// The label of a route's kind.
-fn kind_of(route: &Route) -> &'static str {
+/// Label value of a route's kind.
+fn kind_label(route: &Route) -> &'static str {
     match route.kind {
         RouteKind::Repeatable => "repeatable",
         RouteKind::Once => "once",
@@ -263,9 +262,9 @@
         registry.register(
             "rests",
             "Answers of endpoints that asked to be sent nothing for a while",
-            self.rests.clone(),
+            self.backoffs.clone(),
         );
-        registry.register("limits_named", "Changes of rate limits that endpoints name", self.limits.clone());
+        registry.register("limits_named", "Changes of rate limits that endpoints name", self.limit_changes.clone());
         registry.register(
             "permits",
             "Answers to requests for endpoints with a rate limit, by outcome",
@@ -274,135 +273,148 @@
         registry.register("ended_under", "Requests under which their endpoint ended", self.ended_under.clone());
         let help = "Requests that a choice took to an endpoint which took no more: it warms up, rests, leaves, or its hall is evacuated";
         registry.register("held_back", help, self.held_back.clone());
-        registry.register("refused_words", "What endpoints said and was not taken in, by reason", self.words.clone());
+        registry.register(
+            "refused_words",
+            "What endpoints said and was not taken in, by reason",
+            self.refused_reports.clone(),
+        );
         registry.register("duty_calls", "Calls of the holder of a duty, by duty and outcome", self.duties.clone());
         let seconds = Unit::Seconds;
-        registry.register_with_unit("first", "From arrival to the first byte", seconds.clone(), self.first.clone());
+        registry.register_with_unit(
+            "first",
+            "From arrival to the first byte",
+            seconds.clone(),
+            self.first_byte.clone(),
+        );
         registry.register_with_unit("total", "From arrival to the end", seconds.clone(), self.total.clone());
         registry.register_with_unit("pause", "Between parts of a stream", seconds, self.pauses.clone());
         self.peers.register(registry);
         let state = self.state.borrow();
-        registry.register("open_requests", "Requests under way", state.open.clone());
-        registry.register("idle_connections", "Idle connections to endpoints", state.idle.clone());
+        registry.register("open_requests", "Requests under way", state.open_requests.clone());
+        registry.register("idle_connections", "Idle connections to endpoints", state.idle_connections.clone());
         registry.register("ready", "Takes callers", state.ready.clone());
-        registry.register("document_version", "Version of the configuration in force", state.version.clone());
+        registry.register("document_version", "Version of the configuration in force", state.document_version.clone());
         let help = "Age of the proof that the configuration is the newest, in ms; -1 for none";
-        registry.register("proof_age_milliseconds", help, state.proof.clone());
+        registry.register("proof_age_milliseconds", help, state.proof_age.clone());
         registry.register("term", "Term of the replicated log; 0 without a disk", state.term.clone());
-        registry.register("leads", "Leads the replicated log", state.leads.clone());
-        registry.register("commit_lag", "Entries not known as committed", state.lag.clone());
-        registry.register("holds_duties", "Makes the calls that one instance makes for all", state.holds.clone());
+        registry.register("leads", "Leads the replicated log", state.is_leader.clone());
+        registry.register("commit_lag", "Entries not known as committed", state.commit_lag.clone());
+        registry.register(
+            "holds_duties",
+            "Makes the calls that one instance makes for all",
+            state.holds_duties.clone(),
+        );
         let help = "Closed windows of usage whose report is not acknowledged; known where there is a disk";
-        registry.register("usage_windows_waiting", help, state.windows.clone());
+        registry.register("usage_windows_waiting", help, state.unreported_windows.clone());
         let help = "Requests told after their window was closed; known where there is a disk";
-        registry.register("usage_late_requests", help, state.late.clone());
+        registry.register("usage_late_requests", help, state.late_requests.clone());
         let help = "Messages to instances left out as too much waited for the traffic thread";
-        registry.register("peer_left_out_messages", help, state.left_out.clone());
+        registry.register("peer_left_out_messages", help, state.dropped_messages.clone());
         registry.register("instances", "Live instances known", state.instances.clone());
-        registry.register("resident_bytes", "Memory of the process", state.memory.clone());
-        registry.register("log_lines_left_out", "Log lines left out in the last second", state.dropped.clone());
+        registry.register("resident_bytes", "Memory of the process", state.resident_bytes.clone());
+        registry.register("log_lines_left_out", "Log lines left out in the last second", state.dropped_lines.clone());
         let help = "Contents refused because endpoints ended under them";
-        registry.register("quarantined_contents", help, state.quarantined.clone());
+        registry.register("quarantined_contents", help, state.quarantined_contents.clone());
         let help = "Bytes of bodies held for callers and endpoints that have not taken them";
-        registry.register("held_bytes", help, state.held.clone());
+        registry.register("held_bytes", help, state.held_bytes.clone());
         registry.register("held_peak_bytes", "Most bytes that were ever held so", state.held_peak.clone());
-        registry.register("held_most_bytes", "Bytes that may be held so", state.held_most.clone());
-        registry.register("limited_endpoints", "Endpoints that have a rate limit", state.limited.clone());
-        registry.register("evacuated_halls", "Halls whose endpoints get nothing", state.evacuated.clone());
-        registry.register("endpoint_calls", "Requests known to be at an endpoint", state.calls.clone());
-        registry.register("endpoint_unread_tokens", "Prompt tokens unread at an endpoint", state.unread.clone());
+        registry.register("held_most_bytes", "Bytes that may be held so", state.held_limit.clone());
+        registry.register("limited_endpoints", "Endpoints that have a rate limit", state.limited_endpoints.clone());
+        registry.register("evacuated_halls", "Halls whose endpoints get nothing", state.evacuated_halls.clone());
+        registry.register("endpoint_calls", "Requests known to be at an endpoint", state.endpoint_calls.clone());
+        registry.register("endpoint_unread_tokens", "Prompt tokens unread at an endpoint", state.unread_tokens.clone());
     }
 
-    /// Counts the end of a request; `route` is known once its place was found.
-    pub fn note_end(&self, route: Option<&Route>, ending: Ending, took: Duration) {
-        let kind = route.map_or("none", kind_of);
+    /// Counts the end of a request; `route` is `None` if it ended before its route was known.
+    pub fn record_end(&self, route: Option<&Route>, ending: RequestOutcome, took: Duration) {
+        let kind = route.map_or("none", kind_label);
         let outcome = match ending {
-            Ending::Answered => "answered",
-            Ending::Refused => "refused",
-            Ending::Cut => "cut",
-            Ending::Left => "left",
+            RequestOutcome::Answered => "answered",
+            RequestOutcome::Refused => "refused",
+            RequestOutcome::Interrupted => "cut",
+            RequestOutcome::CallerLeft => "left",
         };
         let tier = route.map_or(0, |route| route.tier);
-        self.requests.get_or_create(&Ended { kind, tier, outcome }).inc();
-        if ending == Ending::Answered {
-            self.total.get_or_create(&Kind { kind }).observe(took.as_secs_f64());
+        self.requests.get_or_create(&RequestLabels { kind, tier, outcome }).inc();
+        if ending == RequestOutcome::Answered {
+            self.total.get_or_create(&KindLabel { kind }).observe(took.as_secs_f64());
         }
     }
 
-    /// Counts a final answer of the instance itself.
-    pub fn note_refusal(&self, why: &'static str) {
-        self.refusals.get_or_create(&Why { why }).inc();
+    /// Counts an error answer of the instance itself.
+    pub fn record_refusal(&self, why: &'static str) {
+        self.refusals.get_or_create(&ReasonLabel { why }).inc();
     }
 
-    /// Counts a request sent to an endpoint, the first time or again.
-    pub fn note_attempt(&self, again: bool) {
+    /// Counts an attempt; `again` marks a retry.
+    pub fn record_attempt(&self, again: bool) {
         self.attempts.inc();
         if again {
             self.retries.inc();
         }
     }
 
-    /// Counts a stream taken up at another endpoint.
-    pub fn note_resume(&self) {
+    /// Counts a stream resumed at another endpoint.
+    pub fn record_resume(&self) {
         self.resumes.inc();
     }
 
-    /// Counts an endpoint left out.
-    pub fn note_ejection(&self) {
+    /// Counts an ejected endpoint.
+    pub fn record_ejection(&self) {
         self.ejections.inc();
     }
 
-    /// Counts an answer in which an endpoint asked to be sent nothing for a while.
-    pub fn note_rest(&self) {
-        self.rests.inc();
+    /// Counts an answer in which an endpoint asked for a backoff.
+    pub fn record_backoff(&self) {
+        self.backoffs.inc();
     }
 
-    /// Counts a change of the rate limit that an endpoint names.
-    pub fn note_limit(&self) {
-        self.limits.inc();
+    /// Counts a change of the rate limit that an endpoint reports.
+    pub fn record_limit_change(&self) {
+        self.limit_changes.inc();
     }
 
-    /// Counts the answer to a request for an endpoint with a rate limit.
-    pub fn note_permit(&self, outcome: PermitOutcome) {
+    /// Counts an answer of the holder of a rate limit.
+    pub fn record_permit(&self, outcome: PermitOutcome) {
         let outcome = match outcome {
             PermitOutcome::Granted => "granted",
             PermitOutcome::Denied => "denied",
         };
-        self.permits.get_or_create(&Permits { outcome }).inc();
+        self.permits.get_or_create(&PermitLabel { outcome }).inc();
     }
 
-    /// Sets how many endpoints have a rate limit.
+    /// Sets the number of endpoints with a rate limit.
     pub fn set_limited(&self, endpoints: usize) {
-        self.state.borrow().limited.set((endpoints as u64).cast_signed());
+        self.state.borrow().limited_endpoints.set((endpoints as u64).cast_signed());
     }
 
-    /// Counts a request under which its endpoint ended.
-    pub fn note_ended_under(&self) {
+    /// Counts a request whose endpoint terminated while serving it.
+    pub fn record_ended_under(&self) {
         self.ended_under.inc();
     }
 
-    /// Counts something that an endpoint, or another writer in its name, said and that was not taken in.
-    pub fn note_refused_word(&self, why: &'static str) {
-        self.words.get_or_create(&Why { why }).inc();
+    /// Counts a rejected report of an endpoint.
+    pub fn record_refused_report(&self, why: &'static str) {
+        self.refused_reports.get_or_create(&ReasonLabel { why }).inc();
     }
 
-    /// Sets how many contents are refused because endpoints ended under them.
+    /// Sets the number of contents in quarantine.
     pub fn set_quarantined(&self, contents: usize) {
-        self.state.borrow().quarantined.set((contents as u64).cast_signed());
+        self.state.borrow().quarantined_contents.set((contents as u64).cast_signed());
     }
 
-    /// Counts a request that its endpoint could not be sent any more.
-    pub fn note_held_back(&self) {
+    /// Counts a request whose chosen endpoint no longer accepted requests.
+    pub fn record_held_back(&self) {
         self.held_back.inc();
     }
 
-    /// Sets how many halls are evacuated.
+    /// Sets the number of evacuated halls.
     pub fn set_evacuated(&self, halls: usize) {
-        self.state.borrow().evacuated.set((halls as u64).cast_signed());
+        self.state.borrow().evacuated_halls.set((halls as u64).cast_signed());
     }
 
-    /// Counts a call that only the holder of a duty makes.
-    pub fn note_duty(&self, duty: &'static str, outcome: CallOutcome) {
+    /// Counts a call of the holder of a duty.
+    pub fn record_duty(&self, duty: &'static str, outcome: CallOutcome) {
         let outcome = match outcome {
             CallOutcome::Taken => "taken",
             CallOutcome::NoneLeft => "none_left",
@@ -411,24 +423,24 @@
             CallOutcome::Lapsed => "lapsed",
             CallOutcome::Unknown => "unknown",
         };
-        self.duties.get_or_create(&Duty { duty, outcome }).inc();
+        self.duties.get_or_create(&DutyLabels { duty, outcome }).inc();
     }
 
     /// Records the time to the first byte of an answer.
-    pub fn note_first(&self, route: &Route, after: Duration) {
-        self.first.get_or_create(&Kind { kind: kind_of(route) }).observe(after.as_secs_f64());
+    pub fn record_first_byte(&self, route: &Route, after: Duration) {
+        self.first_byte.get_or_create(&KindLabel { kind: kind_label(route) }).observe(after.as_secs_f64());
     }
 
-    /// Records the time between two parts of a stream.
-    pub fn note_pause(&self, pause: Duration) {
+    /// Records the pause between two parts of a stream.
+    pub fn record_pause(&self, pause: Duration) {
         self.pauses.observe(pause.as_secs_f64());
     }
 
-    /// All figures as text.
+    /// Encodes all metrics as text.
     pub fn to_text<D: Dialect>(&self, shared: &Shared<D>) -> String {
         self.set_gauges(shared);
         let mut text = String::new();
-        // Writing to a string cannot fail.
+        // Formatting into a string cannot fail.
         let _ = encode(&mut text, &self.registry);
         text
     }
@@ -436,58 +448,58 @@
     fn set_gauges<D: Dialect>(&self, shared: &Shared<D>) {
         let state = self.state.borrow();
         let number = |count: u64| count.cast_signed();
-        state.open.set(number(shared.open.get()));
-        state.idle.set(number(shared.pool.borrow().len() as u64));
+        state.open_requests.set(number(shared.open_requests.get()));
+        state.idle_connections.set(number(shared.pool.borrow().len() as u64));
         state.ready.set(i64::from(shared.is_ready()));
-        state.version.set(number(shared.current_plan().map_or(0, |plan| plan.version)));
-        state.proof.set(shared.proof_age().map_or(-1, |age| number(age.as_millis() as u64)));
-        let standing: &Arc<Standing> = &shared.standing;
-        state.term.set(number(standing.term.load(Ordering::Relaxed)));
-        state.leads.set(i64::from(standing.leads.load(Ordering::Relaxed)));
-        let (last, commit) = (standing.last.load(Ordering::Relaxed), standing.commit.load(Ordering::Relaxed));
-        state.lag.set(number(last.saturating_sub(commit)));
-        state.holds.set(i64::from(shared.holds_duties()));
-        state.windows.set(number(standing.windows.load(Ordering::Relaxed)));
-        state.late.set(number(standing.late.load(Ordering::Relaxed)));
-        state.left_out.set(number(standing.left_out.load(Ordering::Relaxed)));
+        state.document_version.set(number(shared.current_plan().map_or(0, |plan| plan.version)));
+        state.proof_age.set(shared.proof_age().map_or(-1, |age| number(age.as_millis() as u64)));
+        let status: &Arc<ControlStatus> = &shared.status;
+        state.term.set(number(status.term.load(Ordering::Relaxed)));
+        state.is_leader.set(i64::from(status.is_leader.load(Ordering::Relaxed)));
+        let (last, commit) = (status.last_index.load(Ordering::Relaxed), status.commit_index.load(Ordering::Relaxed));
+        state.commit_lag.set(number(last.saturating_sub(commit)));
+        state.holds_duties.set(i64::from(shared.holds_duties()));
+        state.unreported_windows.set(number(status.unreported_windows.load(Ordering::Relaxed)));
+        state.late_requests.set(number(status.late_requests.load(Ordering::Relaxed)));
+        state.dropped_messages.set(number(status.dropped_messages.load(Ordering::Relaxed)));
         let view = shared.view.borrow();
         state.instances.set(number(view.entries.len() as u64));
-        state.memory.set(resident().unwrap_or_default());
-        state.held.set(number(shared.holdings.held() as u64));
-        state.held_peak.set(number(shared.holdings.peak() as u64));
-        state.held_most.set(number(shared.holdings.most() as u64));
+        state.resident_bytes.set(resident_bytes().unwrap_or_default());
+        state.held_bytes.set(number(shared.buffers.held() as u64));
+        state.held_peak.set(number(shared.buffers.peak() as u64));
+        state.held_limit.set(number(shared.buffers.most() as u64));
         let (budget, blocked) = shared.log.dropped();
-        state.dropped.set(number(budget + blocked));
-        state.calls.clear();
-        state.unread.clear();
-        let balance = shared.balance.borrow();
+        state.dropped_lines.set(number(budget + blocked));
+        state.endpoint_calls.clear();
+        state.unread_tokens.clear();
+        let loads = shared.loads.borrow();
         for registration in &view.endpoints {
-            let work = balance.at(&registration.endpoint);
-            let at = At { endpoint: registration.endpoint.to_string() };
-            state.calls.get_or_create(&at).set(i64::from(work.calls));
-            state.unread.get_or_create(&at).set(i64::from(work.unread));
+            let work = loads.at(&registration.endpoint);
+            let at = EndpointLabel { endpoint: registration.endpoint.to_string() };
+            state.endpoint_calls.get_or_create(&at).set(i64::from(work.calls));
+            state.unread_tokens.get_or_create(&at).set(i64::from(work.unread));
         }
     }
 }
 
-/// Resident memory in bytes, where the system tells it.
-fn resident() -> Option<i64> {
+/// Resident memory of the process in bytes, if the system reports it.
+fn resident_bytes() -> Option<i64> {
     let text = std::fs::read_to_string("/proc/self/statm").ok()?;
     let pages: i64 = text.split_whitespace().nth(1)?.parse().ok()?;
-    Some(pages * PAGE)
+    Some(pages * PAGE_SIZE)
 }
 
 /// Measures the pauses between the parts of one stream.
 #[derive(Debug, Default)]
 pub struct PauseMeter {
     before: Option<Moment>,
-    /// The longest so far.
+    /// The longest pause so far.
     pub longest: Duration,
 }
 
 impl PauseMeter {
-    /// Records a part; returns the pause before it, but for the first.
-    pub fn note(&mut self, now: Moment) -> Option<Duration> {
+    /// Records a part and returns the pause before it; `None` for the first part.
+    pub fn record(&mut self, now: Moment) -> Option<Duration> {
         let before = self.before.replace(now)?;
         let pause = now.saturating_duration_since(before);
         self.longest = self.longest.max(pause);
--- a/crates/rudder-gateway/src/shared.rs
+++ b/crates/rudder-gateway/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the tasks of the traffic thread share.
+//! State shared by the tasks of the traffic thread.
 
 use std::{
     cell::{Cell, RefCell},
@@ -21,81 +21,81 @@
 use crate::{
     Dialect, Options, Plan, Route,
     backoff::Backoff,
-    balance::Balance,
     budget::Budget,
+    buffers::BufferQuota,
     call::to_hex,
-    choose::{Choice, Fields},
+    choose::{CandidateCache, Choice},
     contents::{Contents, REFUSED_FOR},
     dialect::EntriesQuery,
     health::Health,
-    holdings::Holdings,
-    limits::{Limits, Permit},
+    limits::{Permit, RateLimits},
+    loads::EndpointLoads,
     logging::Log,
-    metrics::{Metrics, Standing},
-    places::Places,
-    ramp::Ramp,
-    reading::Reading,
+    metrics::{ControlStatus, Metrics},
+    placement::Placement,
+    prefill::PrefillSpeeds,
     recent::{self, Tally},
     roster::Roster,
+    slow_start::SlowStartState,
     upstream::Pool,
 };
 
-/// Instances of a caller's own hall from which on it is told no others: with one alone, its loss would leave none.
-const NEAR_LEAST: usize = 2;
+/// Instances in a caller's hall that are enough for its list. With fewer, the list also holds instances of its region.
+const MIN_NEAR_INSTANCES: usize = 2;
 
-/// What the reducer's view says to traffic.
+/// The part of the reducer's view that traffic uses.
 #[derive(Clone, Debug, Default)]
-pub struct Published {
+pub struct PublishedView {
     /// The configuration document.
     pub document: Option<Document>,
-    /// Endpoints that registered themselves.
+    /// Registered endpoints.
     pub endpoints: Vec<Arc<Registration>>,
     /// Live instances.
     pub entries: Vec<Listing>,
-    /// Contents under which endpoints ended.
+    /// Contents in quarantine.
     pub quarantine: Arc<Quarantine>,
-    /// Halls whose endpoints get nothing.
+    /// Evacuated halls, whose endpoints receive no requests.
     pub evacuations: Arc<Evacuations>,
 }
 
-impl Published {
-    /// Live instances that take callers, and so send to endpoints.
+impl PublishedView {
+    /// Live instances that serve callers, and therefore send requests to endpoints.
     pub fn senders(&self) -> impl Iterator<Item = InstanceId> + '_ {
         self.entries.iter().filter(|listing| listing.address.is_some()).map(|listing| listing.name.clone())
     }
 }
 
-/// The answer to something that waits for the reducer.
+/// The reducer's reply to a ticket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// A document was decided on: the version held now, or nothing is known.
+    /// The version of the document in force after a proposal; `None` if the outcome is unknown.
     Documented(Option<u64>),
-    /// A heartbeat was taken in, or was not.
+    /// Whether a heartbeat was accepted.
     Registered(bool),
-    /// The log holds an order of an evacuation, or nothing is known.
+    /// Whether an evacuation order is committed; false if the outcome is unknown.
     Evacuated(bool),
-    /// The holder of an endpoint's rate limit has answered.
+    /// The answer of the holder of an endpoint's rate limit.
     Permit(PermitAnswer),
 }
 
-/// Those who wait for the reducer.
+/// Tasks that wait for a reply of the reducer.
 #[derive(Debug, Default)]
 pub struct Tickets {
-    count: Cell<u64>,
+    last: Cell<u64>,
     waiting: RefCell<HashMap<u64, oneshot::Sender<Reply>>>,
 }
 
 impl Tickets {
-    /// A new ticket and where its reply comes.
-    pub fn draw(&self) -> (u64, oneshot::Receiver<Reply>) {
-        let ticket = self.count.get() + 1;
-        self.count.set(ticket);
+    /// Issues a ticket and returns it with the receiver of its reply.
+    pub fn issue(&self) -> (u64, oneshot::Receiver<Reply>) {
+        let ticket = self.last.get() + 1;
+        self.last.set(ticket);
         let (sender, receiver) = oneshot::channel();
         self.waiting.borrow_mut().insert(ticket, sender);
         (ticket, receiver)
     }
 
-    /// Passes a reply on; one that nobody waits for any more is dropped.
+    /// Delivers a reply, or drops it if the waiting task is gone.
     pub fn reply(&self, ticket: u64, reply: Reply) {
         if let Some(waiting) = self.waiting.borrow_mut().remove(&ticket) {
             let _ = waiting.send(reply);
@@ -103,13 +103,13 @@
     }
 }
 
-/// Where a planned stop stands.
+/// The stage of a planned stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// No stop was asked for.
+    /// No stop was requested.
     Serving,
-    /// Off the lists; each answer closes its connection.
-    Leaving,
+    /// The instance is off the lists, and each answer closes its connection.
+    Draining,
     /// Idle connections are closed too.
     Closing,
 }
@@ -117,66 +117,66 @@
 /// State of the traffic thread.
 #[derive(Debug)]
 pub struct Shared<D> {
-    /// What callers speak.
+    /// The dialect of callers, operators and endpoints.
     pub dialect: D,
     /// Settings.
     pub options: Options,
-    /// When the process started; the reducer's time counts from it.
+    /// When the process started: the zero of the reducer's time.
     pub started: Moment,
     /// This instance's name.
     pub name: InstanceId,
-    /// Events for the reducer.
-    pub inputs: Sender<Event>,
-    /// Those who wait for it.
+    /// The reducer's queue of events.
+    pub events: Sender<Event>,
+    /// Tasks that wait for a reply of the reducer.
     pub tickets: Tickets,
-    /// The latest view.
-    pub view: RefCell<Rc<Published>>,
-    /// Its endpoints, by service.
+    /// The latest view of the reducer.
+    pub view: RefCell<Rc<PublishedView>>,
+    /// Endpoints by service.
     pub roster: RefCell<Rc<Roster>>,
-    /// Those that requests may go to for the moment.
-    pub fields: RefCell<Fields>,
-    /// The configuration document, read.
+    /// Endpoints that are eligible now, by service.
+    pub candidate_cache: RefCell<CandidateCache>,
+    /// The parsed configuration document.
     pub plan: RefCell<Option<Rc<Plan>>>,
-    /// When the question was sent whose answer proves the plan the newest.
+    /// The time as of which the plan is proved the newest.
     pub proof: watch::Sender<Option<Moment>>,
-    /// When the others' work was as it is known here.
+    /// The time of the last known load of the other instances.
     pub others_at: Cell<Option<Moment>>,
-    /// Work under way at endpoints.
-    pub balance: Rc<RefCell<Balance>>,
-    /// Outcomes at endpoints.
+    /// Requests in flight at endpoints.
+    pub loads: Rc<RefCell<EndpointLoads>>,
+    /// Recent outcomes at endpoints, and ejections.
     pub health: RefCell<Health>,
-    /// Endpoints that want nothing.
+    /// Endpoints that have asked for a backoff or are leaving.
     pub backoff: RefCell<Backoff>,
     /// Rate limits of endpoints.
-    pub limits: RefCell<Limits>,
-    /// What became of contents at endpoints.
+    pub limits: RefCell<RateLimits>,
+    /// Outcomes by content, and the quarantine.
     pub contents: RefCell<Contents>,
-    /// How fast engines read.
-    pub reading: RefCell<Reading>,
-    /// Where requests may go.
-    pub places: RefCell<Places>,
+    /// Prefill speed of engines.
+    pub prefill: RefCell<PrefillSpeeds>,
+    /// Regions and evacuations of halls.
+    pub placement: RefCell<Placement>,
     /// Endpoints that are warming up.
-    pub ramp: RefCell<Ramp>,
-    /// Bytes held for callers and endpoints.
-    pub holdings: Arc<Holdings>,
-    /// Requests sent again.
+    pub slow_start: RefCell<SlowStartState>,
+    /// Bytes buffered for callers and endpoints.
+    pub buffers: Arc<BufferQuota>,
+    /// The retry budget.
     pub budget: RefCell<Budget>,
     /// Idle connections to endpoints.
     pub pool: RefCell<Pool>,
-    /// Changes when a life of an endpoint has been replaced.
+    /// Notifies of endpoints that a later life has replaced.
     pub replaced: watch::Sender<()>,
-    /// Where a planned stop stands.
+    /// The stage of a planned stop.
     pub stage: watch::Sender<Stage>,
-    /// Requests that began at endpoints since the reducer was last told; kept where their number is reported.
+    /// Requests begun at endpoints and not yet reported to the reducer; recorded only if usage is reported.
     pub begun: RefCell<Vec<StartedRequest>>,
-    /// Requests of callers under way.
-    pub open: Cell<u64>,
+    /// Open requests of callers.
+    pub open_requests: Cell<u64>,
     /// The log.
     pub log: Log,
     /// Counters and histograms.
     pub metrics: Metrics,
-    /// Where the replica of this instance stands.
-    pub standing: Arc<Standing>,
+    /// Status of the control thread.
+    pub status: Arc<ControlStatus>,
 }
 
 impl<D: Dialect> Shared<D> {
@@ -185,104 +185,105 @@
         dialect: D,
         options: Options,
         started: Moment,
-        inputs: Sender<Event>,
+        events: Sender<Event>,
         log: Log,
-        standing: Arc<Standing>,
+        status: Arc<ControlStatus>,
     ) -> Shared<D> {
         let budget = Budget::new(options.retry_window, options.retry_ratio, options.retry_extra);
         Shared {
             dialect,
             name: options.name(),
-            holdings: Holdings::new(options.memory),
-            places: RefCell::new(Places::new(options.regions.clone())),
-            ramp: RefCell::new(Ramp::new(options.name(), started)),
+            buffers: BufferQuota::new(options.memory),
+            placement: RefCell::new(Placement::new(options.regions.clone())),
+            slow_start: RefCell::new(SlowStartState::new(options.name(), started)),
             options,
             started,
-            inputs,
+            events,
             tickets: Tickets::default(),
             view: RefCell::default(),
             roster: RefCell::default(),
-            fields: RefCell::default(),
+            candidate_cache: RefCell::default(),
             plan: RefCell::new(None),
             proof: watch::Sender::new(None),
             others_at: Cell::new(None),
-            balance: Rc::default(),
+            loads: Rc::default(),
             health: RefCell::default(),
             backoff: RefCell::default(),
             limits: RefCell::default(),
             contents: RefCell::new(Contents::new(started)),
-            reading: RefCell::default(),
+            prefill: RefCell::default(),
             budget: RefCell::new(budget),
             pool: RefCell::default(),
             replaced: watch::Sender::new(()),
             stage: watch::Sender::new(Stage::Serving),
             begun: RefCell::default(),
-            open: Cell::new(0),
+            open_requests: Cell::new(0),
             log,
             metrics: Metrics::default(),
-            standing,
+            status,
         }
     }
 
-    /// Hands an event to the reducer; one that has ended needs none.
-    pub fn tell(&self, event: Event) {
-        let _ = self.inputs.send(event);
+    /// Sends an event to the reducer. It is dropped if the control thread has ended.
+    pub fn send_event(&self, event: Event) {
+        let _ = self.events.send(event);
     }
 
-    /// True where this instance holds the duties that one holds for all, by the lease as it was a moment ago.
+    /// Returns true if this instance holds the duties, by its last known lease.
     pub fn holds_duties(&self) -> bool {
-        let until = self.standing.duty_until.load(Ordering::Relaxed);
+        let until = self.status.duty_until.load(Ordering::Relaxed);
         (self.started.elapsed().as_micros() as u64) < until
     }
 
-    /// Counts a request that began to run at an endpoint at `at`, for the organisation that holds its key.
-    pub fn note_begun(&self, organisation: Option<&Arc<str>>, at: Moment) {
+    /// Counts a request that began to run at an endpoint towards the usage of the organisation that owns its key.
+    pub fn record_begun(&self, organisation: Option<&Arc<str>>, at: Moment) {
         let wanted = self.options.duties.as_ref().is_some_and(|duties| duties.core.usage.is_some());
         let Some(organisation) = organisation.filter(|_| wanted) else { return };
         let at = at.saturating_duration_since(self.started);
         self.begun.borrow_mut().push(StartedRequest { org: organisation.clone(), at });
     }
 
-    /// Tells the reducer of the requests that began.
-    pub fn tell_begun(&self) {
+    /// Reports the requests that began to the reducer.
+    pub fn report_begun(&self) {
         let begun = std::mem::take(&mut *self.begun.borrow_mut());
         if !begun.is_empty() {
-            self.tell(Event::RequestsStarted(begun));
+            self.send_event(Event::RequestsStarted(begun));
         }
     }
 
-    /// Age of the proof that the plan is the newest; `None` where there never was one.
+    /// Age of the proof that the plan is the newest, if there has been one.
     pub fn proof_age(&self) -> Option<Duration> {
         self.proof.borrow().map(Moment::elapsed)
     }
 
-    /// How old the others' work is that is known here: it takes about as long to be told by them as it took to come here.
+    /// Estimated age of the known load of the other instances: their reports take about as long to reach the leader as
+    /// the leader's answer takes to arrive here.
     pub fn work_age(&self) -> Duration {
         self.others_age() * 2
     }
 
-    /// How long ago the others' work was as it is known here.
+    /// Time since the leader's state of the other instances' load.
     pub fn others_age(&self) -> Duration {
         self.others_at.get().map(Moment::elapsed).unwrap_or_default()
     }
 
-    /// When a request that lacks proof of the configuration should come back: after the rest of a start, or
-    /// after the time that an election takes.
-    pub fn recovers_in(&self) -> Duration {
-        let recover = self.options.recover;
+    /// When to retry a request that was refused for lack of a proof: after the rest of the startup time, or after the
+    /// time of an election.
+    pub fn recovery_time(&self) -> Duration {
+        let recover = self.options.recovery_retry_after;
         if self.proof_age().is_some() {
             return recover;
         }
-        let rest = self.options.start_up.saturating_sub(self.started.elapsed());
-        rest.max(recover / 2)
+        let remaining = self.options.startup_time.saturating_sub(self.started.elapsed());
+        remaining.max(recover / 2)
     }
 
-    /// True where the plan is proved at most `bound` old.
+    /// Returns true if the proof of the plan is younger than `bound`.
     pub fn is_fresh(&self, bound: Duration) -> bool {
         self.proof_age().is_some_and(|age| age < bound)
     }
 
-    /// True while this instance takes callers.
+    /// Returns true while this instance serves callers.
     pub fn is_ready(&self) -> bool {
         let serving = *self.stage.borrow() == Stage::Serving;
         serving && self.current_plan().is_some() && self.is_fresh(self.options.max_proof_age)
@@ -293,53 +294,53 @@
         self.plan.borrow().clone()
     }
 
-    /// Waits until the plan is proved the newest as of `since`, at most for `bound`.
-    pub async fn prove(&self, since: Moment, bound: Duration) -> bool {
-        self.tell(Event::ProveFreshness);
+    /// Waits up to `bound` for a proof that the plan is the newest as of `since`.
+    pub async fn wait_for_proof(&self, since: Moment, bound: Duration) -> bool {
+        self.send_event(Event::ProveFreshness);
         let mut proofs = self.proof.subscribe();
         let proved = proofs.wait_for(|proof| proof.is_some_and(|proof| proof >= since));
         matches!(tokio::time::timeout(bound, proved).await, Ok(Ok(_)))
     }
 
-    /// Applies a newer view, reading its document where that is another one.
-    pub fn publish(&self, published: Published) {
-        self.take_document(published.document.as_ref());
-        self.take_quarantine(&published.quarantine);
-        self.take_evacuations(&published.evacuations);
-        self.ramp.borrow_mut().set_senders(published.senders().collect(), Moment::now());
+    /// Applies a newer view, and parses its document if the version is newer.
+    pub fn publish(&self, published: PublishedView) {
+        self.apply_document(published.document.as_ref());
+        self.apply_quarantine(&published.quarantine);
+        self.apply_evacuations(&published.evacuations);
+        self.slow_start.borrow_mut().set_senders(published.senders().collect(), Moment::now());
         let roster = Rc::new(Roster::new(published.endpoints.iter().cloned()));
-        self.balance.borrow_mut().retain(|endpoint| roster.knows(endpoint));
+        self.loads.borrow_mut().retain(|endpoint| roster.knows(endpoint));
         self.health.borrow_mut().retain(|endpoint| roster.knows(endpoint));
         self.limits.borrow_mut().retain(roster.endpoints(), Moment::now());
         self.metrics.set_limited(self.limits.borrow().count());
         let before = self.roster.replace(roster.clone());
         if !roster.replaced().is_subset(before.replaced()) {
             self.replaced.send_replace(());
-            self.tell_ended(&roster);
+            self.report_ended(&roster);
         }
         *self.view.borrow_mut() = Rc::new(published);
-        self.fields.borrow_mut().clear();
+        self.candidate_cache.borrow_mut().clear();
     }
 
-    /// Returns when a later life of the same name has replaced `endpoint`: nothing runs there any more.
+    /// Waits until a later life of the same name has replaced `endpoint`, so that its requests no longer run.
     pub async fn wait_replaced(&self, endpoint: &EndpointId) {
-        let mut news = self.replaced.subscribe();
-        while !self.is_replaced(endpoint) && news.changed().await.is_ok() {}
+        let mut changes = self.replaced.subscribe();
+        while !self.is_replaced(endpoint) && changes.changed().await.is_ok() {}
     }
 
-    /// True where a later life of the same name has replaced `endpoint`.
+    /// Returns true if a later life of the same name has replaced `endpoint`.
     pub fn is_replaced(&self, endpoint: &EndpointId) -> bool {
         self.roster.borrow().replaced().contains(endpoint)
     }
 
-    /// Holds the end of endpoints that are known to have ended now against what broke off there.
-    fn tell_ended(&self, roster: &Roster) {
+    /// Reports the contents whose connections broke at endpoints that are now known to have terminated.
+    fn report_ended(&self, roster: &Roster) {
         for findings in self.contents.borrow_mut().take_ended(roster.replaced()) {
-            self.tell(Event::Findings(findings));
+            self.send_event(Event::Findings(findings));
         }
     }
 
-    fn take_quarantine(&self, quarantine: &Arc<Quarantine>) {
+    fn apply_quarantine(&self, quarantine: &Arc<Quarantine>) {
         let new = self.contents.borrow_mut().publish(quarantine, Moment::now());
         for content in new {
             self.log.write(What::Quarantined { content: to_hex(content), refused: REFUSED_FOR });
@@ -347,27 +348,28 @@
         self.metrics.set_quarantined(self.contents.borrow().refused_count());
     }
 
-    /// Records which halls are evacuated. The endpoints of one that is no more are cold, whatever they last said.
-    fn take_evacuations(&self, evacuations: &Arc<Evacuations>) {
-        let returned = self.places.borrow_mut().set_evacuations(evacuations.clone());
+    /// Records which halls are evacuated. The endpoints of a hall that has returned count as cold, whatever they
+    /// reported.
+    fn apply_evacuations(&self, evacuations: &Arc<Evacuations>) {
+        let returned = self.placement.borrow_mut().set_evacuations(evacuations.clone());
         for hall in returned {
-            self.ramp.borrow_mut().note_return(&hall, Moment::now());
+            self.slow_start.borrow_mut().record_hall_return(&hall, Moment::now());
         }
-        self.metrics.set_evacuated(self.places.borrow().evacuated());
+        self.metrics.set_evacuated(self.placement.borrow().evacuated());
     }
 
-    /// Takes the right to send a request to the endpoint chosen: things may have changed since the choice.
-    pub fn try_take_place(&self, choice: &Choice, permit: Option<Permit>, now: Moment) -> bool {
-        let taken = self.may_send(choice, permit, now) && self.try_take_share(choice, now);
+    /// Checks again that the chosen endpoint accepts a request, and counts it towards the endpoint's warm-up share.
+    pub fn try_reserve(&self, choice: &Choice, permit: Option<Permit>, now: Moment) -> bool {
+        let taken = self.accepts_requests(choice, permit, now) && self.try_take_ramp_share(choice, now);
         if !taken {
-            self.metrics.note_held_back();
+            self.metrics.record_held_back();
         }
         taken
     }
 
-    /// True where the endpoint chosen takes requests, as far as it and its hall are concerned.
-    fn may_send(&self, choice: &Choice, permit: Option<Permit>, now: Moment) -> bool {
-        // A limit may have become known, or a permit have grown old, while a connection was waited for.
+    /// Returns true if the chosen endpoint and its hall accept requests.
+    fn accepts_requests(&self, choice: &Choice, permit: Option<Permit>, now: Moment) -> bool {
+        // While the connection was opened, a limit may have been reported or the permit may have expired.
         let is_permitted = permit.is_some_and(|permit| permit.holds(&choice.endpoint, now));
         if !is_permitted && self.limits.borrow().rate(&choice.endpoint).is_some() {
             return false;
@@ -376,115 +378,123 @@
             return false;
         }
         let roster = self.roster.borrow();
-        // One that is no longer known has ended; the attempt shows it.
-        let Some(held) = roster.get(&choice.endpoint) else { return true };
-        // The choice may be as old as the stream that goes on at the endpoint that keeps its copy.
-        held.phase <= Phase::Silent && self.places.borrow().is_open(&held.hall)
+        // An endpoint that is no longer known has terminated, which the attempt will show.
+        let Some(registration) = roster.get(&choice.endpoint) else { return true };
+        // The holder of a stream's copy was chosen when the stream started, so its phase may have changed since.
+        registration.phase <= Phase::Silent && self.placement.borrow().is_open(&registration.hall)
     }
 
-    /// Takes a part of this instance's share of what the endpoint chosen bears while it warms up.
-    fn try_take_share(&self, choice: &Choice, now: Moment) -> bool {
+    /// Counts a request towards this instance's share of the chosen endpoint's capacity during warm-up.
+    fn try_take_ramp_share(&self, choice: &Choice, now: Moment) -> bool {
         let roster = self.roster.borrow();
-        let Some(held) = roster.get(&choice.endpoint) else { return true };
-        let warm_up = self.current_plan().and_then(|plan| plan.services.get(&held.service)?.warm_up);
-        let mut ramp = self.ramp.borrow_mut();
-        let allowed = ramp.use_of(held, warm_up, &self.options.policy.slow_start, now);
-        ramp.try_take(&held.endpoint, allowed, now)
+        let Some(registration) = roster.get(&choice.endpoint) else { return true };
+        let warm_up = self.current_plan().and_then(|plan| plan.services.get(&registration.service)?.warm_up);
+        let mut slow_start = self.slow_start.borrow_mut();
+        let allowed = slow_start.allowance(registration, warm_up, &self.options.policy.slow_start, now);
+        slow_start.try_take(&registration.endpoint, allowed, now)
     }
 
-    /// How long this instance may send to none of the endpoints that serve `route`, as they want nothing or their rate limits
-    /// are used up; `None` while it may send to one of them.
+    /// How long all endpoints that serve `route` are blocked by backoffs or exhausted rate limits; `None` if one
+    /// accepts requests or there are none.
     pub fn blocked_for(&self, route: &Route) -> Option<Duration> {
         let now = Moment::now();
-        let (roster, backoff, places) = (self.roster.borrow(), self.backoff.borrow(), self.places.borrow());
+        let (roster, backoff, placement) = (self.roster.borrow(), self.backoff.borrow(), self.placement.borrow());
         let limits = self.limits.borrow();
         let endpoints = route.shares.iter().flat_map(|share| roster.of(&share.service));
         let mut soonest: Option<Moment> = None;
-        for held in endpoints {
-            if held.phase > Phase::Silent || !places.is_open(&held.hall) || backoff.is_leaving(&held.endpoint) {
+        for registration in endpoints {
+            if registration.phase > Phase::Silent
+                || !placement.is_open(&registration.hall)
+                || backoff.is_leaving(&registration.endpoint)
+            {
                 continue;
             }
-            let retry_at = backoff.retry_at(&held.endpoint, now);
-            let until = retry_at.max(limits.retry_at(&held.endpoint, now))?;
+            let retry_at = backoff.retry_at(&registration.endpoint, now);
+            let until = retry_at.max(limits.retry_at(&registration.endpoint, now))?;
             soonest = Some(soonest.map_or(until, |soonest| soonest.min(until)));
         }
         soonest.map(|until| until.saturating_duration_since(now))
     }
 
-    /// Records the rate limits of endpoints as all instances know them, as of `at`.
-    pub fn take_limits(&self, reports: &[LimitReport], at: Moment) {
+    /// Records the rate limits of endpoints that all instances share, as of `at`.
+    pub fn apply_limits(&self, reports: &[LimitReport], at: Moment) {
         let mut limits = self.limits.borrow_mut();
         for report in reports {
             limits.record_report(*report, at);
         }
         self.metrics.set_limited(limits.count());
-        self.fields.borrow_mut().clear();
+        self.candidate_cache.borrow_mut().clear();
     }
 
-    /// Records the work of the other instances at endpoints as of `at`; `None` where it has not changed.
-    pub fn take_others(&self, others: Option<&[Load]>, at: Moment) {
+    /// Records the load of the other instances at endpoints as of `at`; `None` if it has not changed.
+    pub fn apply_others(&self, others: Option<&[Load]>, at: Moment) {
         self.others_at.set(Some(at));
         let Some(others) = others else { return };
-        self.balance.borrow_mut().set_others(others);
-        self.judge();
-        self.fields.borrow_mut().clear();
+        self.loads.borrow_mut().set_others(others);
+        self.update_suspects();
+        self.candidate_cache.borrow_mut().clear();
     }
 
-    /// Leaves out the endpoints that fail far more than the others of their service.
-    fn judge(&self) {
+    /// Ejects the endpoints that fail far more often than the others of their service.
+    fn update_suspects(&self) {
         if !self.options.policy.guard.suspects {
             return;
         }
-        let (now, balance, roster) = (Moment::now(), self.balance.borrow(), self.roster.borrow().clone());
+        let (now, loads, roster) = (Moment::now(), self.loads.borrow(), self.roster.borrow().clone());
         let mut services: Vec<Vec<(EndpointId, Tally)>> = Vec::new();
         for endpoints in roster.services() {
-            let ready = endpoints.iter().filter(|held| held.phase == Phase::Ready);
-            services.push(ready.map(|held| (held.endpoint.clone(), balance.tally(&held.endpoint, now))).collect());
+            let ready = endpoints.iter().filter(|registration| registration.phase == Phase::Ready);
+            services.push(
+                ready
+                    .map(|registration| (registration.endpoint.clone(), loads.tally(&registration.endpoint, now)))
+                    .collect(),
+            );
         }
         let suspects = services.iter().flat_map(|tallies| recent::suspects(tallies)).collect();
         for endpoint in self.health.borrow_mut().set_suspects(suspects) {
-            let Tally { ended, failed } = balance.tally(&endpoint, now);
-            self.metrics.note_ejection();
+            let Tally { ended, failed } = loads.tally(&endpoint, now);
+            self.metrics.record_ejection();
             self.log.write(What::Suspect { endpoint, ended, failed });
         }
     }
 
-    fn take_document(&self, document: Option<&Document>) {
+    fn apply_document(&self, document: Option<&Document>) {
         let Some(document) = document else { return };
-        let held = self.plan.borrow().as_ref().map_or(0, |plan| plan.version);
-        if document.version <= held {
+        let current = self.plan.borrow().as_ref().map_or(0, |plan| plan.version);
+        if document.version <= current {
             return;
         }
         match self.dialect.read_document(&document.body) {
             Ok(plan) => *self.plan.borrow_mut() = Some(Rc::new(plan)),
-            // It was read before it was proposed, by an instance that may be of another version.
-            Err(error) => spdlog::error!("document {} cannot be read here: {error}", document.version),
+            // The instance that proposed it could parse it, but may run another version.
+            Err(error) => spdlog::error!("cannot parse configuration document {}: {error}", document.version),
         }
     }
 
-    /// Addresses for a caller: those of its hall, those of its region where the hall has fewer than two, or those of the
-    /// regions that all routes of its host are bound to; all where there are none of these.
-    pub fn to_entries(&self, query: &EntriesQuery) -> Vec<Arc<str>> {
+    /// Addresses of instances for a caller: those in its hall if there are at least [`MIN_NEAR_INSTANCES`], else those
+    /// in its region, else those in the regions that all routes of its host are bound to, else those in its hall, else
+    /// all.
+    pub fn entries_for(&self, query: &EntriesQuery) -> Vec<Arc<str>> {
         let view = self.view.borrow();
-        let places = self.places.borrow();
+        let placement = self.placement.borrow();
         let live: Vec<&Listing> = view.entries.iter().filter(|listing| listing.takes_callers()).collect();
-        let pick = |is_meant: &dyn Fn(&Listing) -> bool| -> Vec<&Listing> {
-            live.iter().copied().filter(|listing| is_meant(listing)).collect()
+        let select = |is_wanted: &dyn Fn(&Listing) -> bool| -> Vec<&Listing> {
+            live.iter().copied().filter(|listing| is_wanted(listing)).collect()
         };
-        let near = pick(&|listing| query.hall.as_deref() == Some(&*listing.hall));
-        if near.len() >= NEAR_LEAST {
+        let near = select(&|listing| query.hall.as_deref() == Some(&*listing.hall));
+        if near.len() >= MIN_NEAR_INSTANCES {
             return to_addresses(&near);
         }
-        let region = query.hall.as_deref().and_then(|hall| places.region_of(hall)).map(|region| &**region);
+        let region = query.hall.as_deref().and_then(|hall| placement.region_of(hall)).map(|region| &**region);
         let region = region.or(query.region.as_deref());
         let of_region =
-            pick(&|listing| region.is_some() && places.region_of(&listing.hall).map(|held| &**held) == region);
+            select(&|listing| region.is_some() && placement.region_of(&listing.hall).map(|found| &**found) == region);
         if !of_region.is_empty() {
             return to_addresses(&of_region);
         }
         let plan = self.current_plan();
         let residency = plan.zip(query.host.as_deref()).and_then(|(plan, host)| plan.residency_of_host(host));
-        let resident = pick(&|listing| residency.is_some() && places.allows(residency.as_deref(), &listing.hall));
+        let resident = select(&|listing| residency.is_some() && placement.allows(residency.as_deref(), &listing.hall));
         to_addresses([&resident, &near, &live].into_iter().find(|listings| !listings.is_empty()).unwrap_or(&live))
     }
 }
--- a/crates/rudder-gateway/tests/support/mod.rs
+++ b/crates/rudder-gateway/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What a choice rests on, as tests and benchmarks set it.
+//! Inputs of endpoint choices for tests and benchmarks.
 #![allow(dead_code, reason = "each test program uses some of it")]
 
 use std::{sync::Arc, time::Duration};
@@ -6,12 +6,12 @@
 use rudder_clock::Moment;
 use rudder_core::{Phase, Registration};
 use rudder_gateway::{
-    Plan, Policy, backoff::Backoff, balance::Balance, choose::Inputs, health::Health, limits::Limits, places::Places,
-    ramp::Ramp, reading::Reading, roster::Roster,
+    Plan, Policy, backoff::Backoff, choose::Inputs, health::Health, limits::RateLimits, loads::EndpointLoads,
+    placement::Placement, prefill::PrefillSpeeds, roster::Roster, slow_start::SlowStartState,
 };
 use rudder_model::HallId;
 
-/// A ready endpoint of the service `svc` with 64 slots, alone at its address.
+/// A ready endpoint of the service `svc` with 64 slots and an address of its own.
 pub fn endpoint(number: usize, hall: &str) -> Registration {
     Registration {
         endpoint: format!("e-{number}").into(),
@@ -33,16 +33,16 @@
     Roster::new(endpoints.iter().cloned().map(Arc::new))
 }
 
-/// All that an instance knows when it chooses; nothing of endpoints where nothing is set.
+/// The state from which an instance chooses an endpoint; empty by default.
 pub struct Known {
-    pub balance: Balance,
+    pub loads: EndpointLoads,
     pub work_age: Duration,
     pub health: Health,
     pub backoff: Backoff,
-    pub reading: Reading,
-    pub places: Places,
-    pub ramp: Ramp,
-    pub limits: Limits,
+    pub prefill: PrefillSpeeds,
+    pub placement: Placement,
+    pub slow_start: SlowStartState,
+    pub limits: RateLimits,
     pub hall: HallId,
     pub plan: Plan,
     pub policy: Policy,
@@ -53,14 +53,14 @@
     fn default() -> Self {
         let now = Moment::now();
         Known {
-            balance: Balance::default(),
+            loads: EndpointLoads::default(),
             work_age: Duration::ZERO,
             health: Health::default(),
             backoff: Backoff::default(),
-            reading: Reading::default(),
-            places: Places::default(),
-            ramp: Ramp::new("me".into(), now),
-            limits: Limits::default(),
+            prefill: PrefillSpeeds::default(),
+            placement: Placement::default(),
+            slow_start: SlowStartState::new("me".into(), now),
+            limits: RateLimits::default(),
             hall: "a".into(),
             plan: Plan::default(),
             policy: Policy::default(),
@@ -70,16 +70,16 @@
 }
 
 impl Known {
-    /// What a choice rests on.
+    /// The inputs of a choice.
     pub fn inputs(&self) -> Inputs<'_> {
         Inputs {
-            balance: &self.balance,
+            loads: &self.loads,
             work_age: self.work_age,
             health: &self.health,
             backoff: &self.backoff,
-            reading: &self.reading,
-            places: &self.places,
-            ramp: &self.ramp,
+            prefill: &self.prefill,
+            placement: &self.placement,
+            slow_start: &self.slow_start,
             limits: &self.limits,
             hall: &self.hall,
             plan: &self.plan,
