--- a/crates/rudder-store/src/disk.rs
+++ b/crates/rudder-store/src/disk.rs
@@ -1,4 +1,4 @@
-//! The disk thread: saves in order, many with one sync, and reports what is durable.
+//! The disk thread: executes save jobs in order with group commit and reports durable progress.
 
 use std::{thread, time::Duration};
 
@@ -7,39 +7,39 @@
 
 use crate::{Store, write};
 
-/// A full disk is tried again after this long.
-const FULL_RETRY: Duration = Duration::from_millis(250);
+/// Delay between retries while the disk is full.
+const DISK_FULL_RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// What the disk thread reports.
+/// A status report of the disk thread.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Report {
-    /// All saves up to this number are durable.
+    /// All jobs up to and including this number are durable.
     Saved(u64),
-    /// The disk refuses writes; the save goes on being tried.
+    /// The disk is full; the current job is being retried.
     Full,
 }
 
-/// Something to save.
+/// A save job with its sequence number.
 #[derive(Debug)]
 pub enum Job {
-    /// Append records.
+    /// Appends records to the current file.
     Append(u64, Vec<Record>),
-    /// Start the file anew.
+    /// Replaces the current file by a snapshot and the records after it.
     Replace(u64, Snapshot, Vec<Record>),
 }
 
-/// Saves until the sender of jobs is gone or nobody wants its reports any more.
+/// Executes jobs until the job channel is disconnected or `report` returns `false`.
 ///
-/// A failed sync ends the process: what the system holds of the file is not known any more, and a
-/// voter that went on could acknowledge what it would forget.
+/// Any error other than a full disk exits the process. After a failed sync the durable state is
+/// unknown, and a voter that continued could acknowledge records that a crash would lose.
 pub fn run(mut store: Store, jobs: &Receiver<Job>, report: impl Fn(Report) -> bool) {
     while let Ok(first) = jobs.recv() {
         let mut saved = 0;
         for job in std::iter::once(first).chain(jobs.try_iter()) {
-            saved = until_done(&mut store, &job, &report);
+            saved = run_with_retry(&mut store, &job, &report);
         }
         if let Err(error) = store.sync() {
-            die(&error);
+            exit_process(&error);
         }
         if !report(Report::Saved(saved)) {
             return;
@@ -47,9 +47,9 @@
     }
 }
 
-/// Tries a job until the disk takes it.
-fn until_done(store: &mut Store, job: &Job, report: impl Fn(Report) -> bool) -> u64 {
-    let mut told = false;
+/// Executes a job, retrying while the disk is full, and returns its number.
+fn run_with_retry(store: &mut Store, job: &Job, report: impl Fn(Report) -> bool) -> u64 {
+    let mut full_reported = false;
     loop {
         let (number, result) = match job {
             Job::Append(number, records) => (*number, store.append(records)),
@@ -58,18 +58,18 @@
         match result {
             Ok(()) => return number,
             Err(write::Error::Full { .. }) => {
-                if !told {
-                    told = true;
+                if !full_reported {
+                    full_reported = true;
                     report(Report::Full);
                 }
-                thread::sleep(FULL_RETRY);
+                thread::sleep(DISK_FULL_RETRY_DELAY);
             }
-            Err(error) => die(&error),
+            Err(error) => exit_process(&error),
         }
     }
 }
 
-fn die(error: &write::Error) -> ! {
-    spdlog::critical!("{error}; ending, because what is durable is not known");
+fn exit_process(error: &write::Error) -> ! {
+    spdlog::critical!("{error}; exiting because the durable state is unknown");
     std::process::exit(3);
 }
--- a/crates/rudder-store/src/frame.rs
+++ b/crates/rudder-store/src/frame.rs
@@ -1,54 +1,56 @@
-//! Framing of records: length, checksum of the length, checksum of the payload, payload.
+//! Record framing: payload length, CRC-32 of the length, CRC-32 of the payload, payload.
+//!
+//! Integers are little-endian `u32`.
 
-/// Bytes before each payload.
-pub const HEADER: usize = 12;
+/// Size of the header before each payload, in bytes.
+pub const HEADER_LENGTH: usize = 12;
 
-/// What stands at one position of a file.
+/// The result of reading a frame at an offset.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Frame<'a> {
-    /// A whole record and the position after it.
-    Whole(&'a [u8], usize),
-    /// The file ends here.
+    /// The payload of a complete frame and the offset after the frame.
+    Complete(&'a [u8], usize),
+    /// The offset is at the end of the file.
     End,
-    /// The last write did not finish: the file ends within a record whose length is sound.
+    /// An incomplete last write: the rest of the file is all zeros or shorter than one frame.
     Torn,
-    /// Bytes that were once sound and are no longer.
-    Damaged,
+    /// A checksum does not match.
+    Corrupt,
 }
 
-/// Appends one framed record to `bytes`.
+/// Appends a frame with `payload` to `bytes`.
 ///
 /// # Panics
-/// When the payload exceeds 4 GiB.
+/// If the payload is 4 GiB or larger.
 pub fn push(bytes: &mut Vec<u8>, payload: &[u8]) {
-    let length = u32::try_from(payload.len()).expect("a record stays below 4 GiB").to_le_bytes();
+    let length = u32::try_from(payload.len()).expect("a record is smaller than 4 GiB").to_le_bytes();
     bytes.extend_from_slice(&length);
     bytes.extend_from_slice(&crc32fast::hash(&length).to_le_bytes());
     bytes.extend_from_slice(&crc32fast::hash(payload).to_le_bytes());
     bytes.extend_from_slice(payload);
 }
 
-/// Reads the record at `at`.
+/// Reads the frame at `offset`.
 ///
-/// Note: a whole record with a wrong checksum is damage even at the very end. It may have been
-/// acknowledged, and cutting it off would make a voter forget.
-pub fn read(bytes: &[u8], at: usize) -> Frame<'_> {
-    let rest = &bytes[at..];
+/// A complete frame with a wrong checksum is corrupt even at the end of the file: the record may
+/// have been acknowledged, so a voter must not truncate it.
+pub fn read(bytes: &[u8], offset: usize) -> Frame<'_> {
+    let rest = &bytes[offset..];
     if rest.is_empty() {
         return Frame::End;
     }
-    // File systems may extend a file before they write its content: zeros alone are an unfinished write.
-    if rest.len() < HEADER || rest.iter().all(|byte| *byte == 0) {
+    // A file system may extend a file before it writes the content, which leaves a tail of zeros.
+    if rest.len() < HEADER_LENGTH || rest.iter().all(|byte| *byte == 0) {
         return Frame::Torn;
     }
-    let word = |from: usize| [rest[from], rest[from + 1], rest[from + 2], rest[from + 3]];
-    if crc32fast::hash(&word(0)) != u32::from_le_bytes(word(4)) {
-        return Frame::Damaged;
+    let header_field = |from: usize| [rest[from], rest[from + 1], rest[from + 2], rest[from + 3]];
+    if crc32fast::hash(&header_field(0)) != u32::from_le_bytes(header_field(4)) {
+        return Frame::Corrupt;
     }
-    let length = u32::from_le_bytes(word(0)) as usize;
-    let Some(payload) = rest.get(HEADER..HEADER + length) else { return Frame::Torn };
-    if crc32fast::hash(payload) != u32::from_le_bytes(word(8)) {
-        return Frame::Damaged;
+    let length = u32::from_le_bytes(header_field(0)) as usize;
+    let Some(payload) = rest.get(HEADER_LENGTH..HEADER_LENGTH + length) else { return Frame::Torn };
+    if crc32fast::hash(payload) != u32::from_le_bytes(header_field(8)) {
+        return Frame::Corrupt;
     }
-    Frame::Whole(payload, at + HEADER + length)
+    Frame::Complete(payload, offset + HEADER_LENGTH + length)
 }
--- a/crates/rudder-store/src/lib.rs
+++ b/crates/rudder-store/src/lib.rs
@@ -1,9 +1,9 @@
-//! The data folder of one replica.
+//! Durable storage of one replica: a data folder with checksummed, synced files.
 //!
-//! One file `state-N` holds the replica's identity, its snapshot and the records since. Every
-//! record is framed with two checksums. A new snapshot is written to a new file that takes the old
-//! one's place by a rename, so a crash leaves one of the two whole. Nothing counts as saved before
-//! file and folder are synced.
+//! The file `state-N` holds the replica's identity, its snapshot and the log records appended
+//! since. Every record is framed with two checksums. A new snapshot is written to a temporary file,
+//! synced and renamed to `state-N+1`, so a crash leaves at least one complete file. Data is durable
+//! only after the file and the folder are synced.
 #![deny(missing_docs, unsafe_code)]
 
 pub mod disk;
--- a/crates/rudder-store/src/medium.rs
+++ b/crates/rudder-store/src/medium.rs
@@ -1,4 +1,4 @@
-//! The one interface at which tests put a failing disk.
+//! The file interface of the store, which tests replace to inject disk failures.
 
 use std::{
     fs::{File, OpenOptions},
@@ -6,40 +6,40 @@
     path::Path,
 };
 
-/// A file that grows at its end.
+/// An append-only file.
 pub trait Medium {
-    /// Makes or empties the file at `path`.
+    /// Creates the file at `path`, or truncates it if it exists.
     ///
     /// # Errors
-    /// As the file system reports.
+    /// Any file system error.
     fn create(path: &Path) -> io::Result<Self>
     where
         Self: Sized;
 
-    /// Opens the file at `path` to go on at its end.
+    /// Opens the existing file at `path` for appending.
     ///
     /// # Errors
-    /// As the file system reports.
+    /// Any file system error.
     fn reopen(path: &Path) -> io::Result<Self>
     where
         Self: Sized;
 
-    /// Writes all of `bytes` at the end.
+    /// Appends all of `bytes`.
     ///
     /// # Errors
-    /// As the file system reports; a part may have been written.
+    /// Any file system error; part of `bytes` may have been written.
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
 
-    /// Cuts the file to `length` bytes.
+    /// Truncates the file to `length` bytes.
     ///
     /// # Errors
-    /// As the file system reports.
-    fn cut(&mut self, length: u64) -> io::Result<()>;
+    /// Any file system error.
+    fn truncate(&mut self, length: u64) -> io::Result<()>;
 
-    /// Returns once all that was written is durable.
+    /// Returns once all written data is durable.
     ///
     /// # Errors
-    /// As the file system reports; after an error nothing is known of what was written.
+    /// Any file system error; the durable content is unknown afterwards.
     fn sync(&mut self) -> io::Result<()>;
 }
 
@@ -56,7 +56,7 @@
         self.write_all(bytes)
     }
 
-    fn cut(&mut self, length: u64) -> io::Result<()> {
+    fn truncate(&mut self, length: u64) -> io::Result<()> {
         self.set_len(length)?;
         io::Seek::seek(self, io::SeekFrom::End(0)).map(drop)
     }
--- a/crates/rudder-store/src/open.rs
+++ b/crates/rudder-store/src/open.rs
@@ -1,4 +1,4 @@
-//! Opening a data folder: recovery after a crash, refusal of damage.
+//! Opening a data folder: crash recovery and detection of corruption.
 
 use std::{
     fs::{self, File},
@@ -11,65 +11,67 @@
 use crate::{
     Medium as _, Store,
     frame::{self, Frame},
-    write::{self, Item},
+    write::{self, FileRecord},
 };
 
-/// Why a data folder cannot be used.
+/// The error of [`open`].
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The system refused.
-    #[error("{step} {path}: {source}")]
+    /// A file system operation failed.
+    #[error("{operation} {path}: {source}")]
     Io {
-        /// What was being done.
-        step: &'static str,
-        /// To which file.
+        /// The operation that failed.
+        operation: &'static str,
+        /// The file or folder.
         path: PathBuf,
-        /// What the system reported.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// A record that was once whole is not any more.
-    #[error("{path}: damaged at byte {at}; to join as a new replica, move the data folder away and start again")]
-    Damaged {
-        /// Which file.
+    /// The state file is corrupt.
+    #[error(
+        "{path}: corrupt record at byte {offset}; to rejoin as a new replica, move the data folder away and restart"
+    )]
+    Corrupt {
+        /// The state file.
         path: PathBuf,
-        /// Where the first unsound record starts.
-        at: usize,
+        /// Offset of the first corrupt record.
+        offset: usize,
     },
-    /// The folder belongs to another instance.
-    #[error("{path}: belongs to instance {held}, not to {wanted}")]
+    /// The data folder belongs to another instance.
+    #[error("{path}: belongs to instance {owner}, not to {expected}")]
     OtherOwner {
-        /// Which file.
+        /// The state file.
         path: PathBuf,
-        /// Whose it is.
-        held: String,
-        /// Who asked for it.
-        wanted: String,
+        /// The instance named in the file.
+        owner: String,
+        /// The instance that opens the folder.
+        expected: String,
     },
-    /// The first file cannot be written.
+    /// The first state file cannot be written.
     #[error(transparent)]
     Write(#[from] write::Error),
 }
 
-/// What opening found.
+/// An opened data folder and its recovered state.
 #[derive(Debug)]
 pub struct Outcome {
-    /// The open folder.
+    /// The store, ready to append.
     pub store: Store,
     /// The replica's id.
     pub id: ReplicaId,
-    /// Term, vote, snapshot and entries.
+    /// The recovered term, vote, snapshot and entries.
     pub durable: Durable,
-    /// Bytes of an unfinished last write that were cut off.
+    /// Number of bytes of an incomplete last write that were truncated.
     pub cut: usize,
 }
 
-/// Opens `folder` for the instance called `name`; an empty one gets the identity `fresh_id`.
+/// Opens `folder` for the instance `name`; a folder without a state file is initialised with `fresh_id`.
 ///
 /// # Errors
-/// When the folder cannot be read or written, is damaged before its end, or is another instance's.
+/// If the folder cannot be read or written, is corrupt, or belongs to another instance.
 pub fn open(folder: &Path, name: &str, fresh_id: ReplicaId) -> Result<Outcome, Error> {
-    fs::create_dir_all(folder).map_err(|source| to_io("create", folder, source))?;
-    let generations = to_generations(folder)?;
+    fs::create_dir_all(folder).map_err(|source| io_error("create", folder, source))?;
+    let generations = list_generations(folder)?;
     let Some(generation) = generations.last().copied() else {
         let store = write::create(folder, 1, fresh_id, name, &Snapshot::default(), &[])?;
         return Ok(Outcome { store, id: fresh_id, durable: Durable::default(), cut: 0 });
@@ -81,11 +83,11 @@
     Ok(outcome)
 }
 
-fn to_generations(folder: &Path) -> Result<Vec<u64>, Error> {
-    let listed = fs::read_dir(folder).map_err(|source| to_io("list", folder, source))?;
+fn list_generations(folder: &Path) -> Result<Vec<u64>, Error> {
+    let directory_entries = fs::read_dir(folder).map_err(|source| io_error("list", folder, source))?;
     let mut generations = Vec::new();
-    for entry in listed {
-        let entry = entry.map_err(|source| to_io("list", folder, source))?;
+    for entry in directory_entries {
+        let entry = entry.map_err(|source| io_error("list", folder, source))?;
         let file_name = entry.file_name();
         let number = file_name.to_str().and_then(|text| text.strip_prefix("state-"));
         let Some(number) = number.and_then(|text| text.parse().ok()) else { continue };
@@ -97,47 +99,48 @@
 
 fn read(folder: &Path, generation: u64, name: &str) -> Result<Outcome, Error> {
     let path = write::state_path(folder, generation);
-    let bytes = fs::read(&path).map_err(|source| to_io("read", &path, source))?;
+    let bytes = fs::read(&path).map_err(|source| io_error("read", &path, source))?;
     let mut durable = Durable::default();
     let mut identity = None;
-    let mut at = 0;
+    let mut offset = 0;
     let end = loop {
-        match frame::read(&bytes, at) {
-            Frame::End => break at,
-            // The identity and the snapshot were synced before the file got its name.
-            Frame::Torn if identity.is_some() => break at,
-            Frame::Torn | Frame::Damaged => return Err(Error::Damaged { path, at }),
-            Frame::Whole(payload, next) => {
-                let item = rmp_serde::from_slice(payload).map_err(|_| Error::Damaged { path: path.clone(), at })?;
-                take(&mut durable, &mut identity, item);
-                at = next;
+        match frame::read(&bytes, offset) {
+            Frame::End => break offset,
+            // The identity and the snapshot are synced before the rename, so only later records can be torn.
+            Frame::Torn if identity.is_some() => break offset,
+            Frame::Torn | Frame::Corrupt => return Err(Error::Corrupt { path, offset }),
+            Frame::Complete(payload, next) => {
+                let record =
+                    rmp_serde::from_slice(payload).map_err(|_| Error::Corrupt { path: path.clone(), offset })?;
+                apply(&mut durable, &mut identity, record);
+                offset = next;
             }
         }
     };
-    let Some((id, held)) = identity else { return Err(Error::Damaged { path, at: 0 }) };
-    if held != name {
-        return Err(Error::OtherOwner { path, held, wanted: name.to_owned() });
+    let Some((id, owner)) = identity else { return Err(Error::Corrupt { path, offset: 0 }) };
+    if owner != name {
+        return Err(Error::OtherOwner { path, owner, expected: name.to_owned() });
     }
-    let mut file = File::reopen(&path).map_err(|source| to_io("open", &path, source))?;
+    let mut file = File::reopen(&path).map_err(|source| io_error("open", &path, source))?;
     if end < bytes.len() {
-        file.cut(end as u64).map_err(|source| to_io("cut", &path, source))?;
-        file.sync().map_err(|source| to_io("sync", &path, source))?;
+        file.truncate(end as u64).map_err(|source| io_error("truncate", &path, source))?;
+        file.sync().map_err(|source| io_error("sync", &path, source))?;
     }
-    let store = Store { folder: folder.to_owned(), id, name: held, generation, file, length: end as u64 };
+    let store = Store { folder: folder.to_owned(), id, name: owner, generation, file, length: end as u64 };
     Ok(Outcome { store, id, durable, cut: bytes.len() - end })
 }
 
-fn take(durable: &mut Durable, identity: &mut Option<(ReplicaId, String)>, item: Item) {
-    match item {
-        Item::Identity { id, name } => *identity = Some((id, name)),
-        Item::Snapshot(snapshot) => {
+fn apply(durable: &mut Durable, identity: &mut Option<(ReplicaId, String)>, record: FileRecord) {
+    match record {
+        FileRecord::Identity { id, name } => *identity = Some((id, name)),
+        FileRecord::Snapshot(snapshot) => {
             durable.term = snapshot.term;
             durable.snapshot = snapshot;
         }
-        Item::Record(record) => durable.take(record),
+        FileRecord::Record(record) => durable.take(record),
     }
 }
 
-fn to_io(step: &'static str, path: &Path, source: io::Error) -> Error {
-    Error::Io { step, path: path.to_owned(), source }
+fn io_error(operation: &'static str, path: &Path, source: io::Error) -> Error {
+    Error::Io { operation, path: path.to_owned(), source }
 }
--- a/crates/rudder-store/src/write.rs
+++ b/crates/rudder-store/src/write.rs
@@ -1,4 +1,4 @@
-//! Writing: appending records, replacing the file by a new snapshot.
+//! Appending records and replacing the state file by a new snapshot.
 
 use std::{
     fs::{self, File},
@@ -11,41 +11,41 @@
 
 use crate::{Medium, frame};
 
-/// What one framed record of the file holds.
+/// The payload of one frame of a state file.
 #[derive(Debug, Serialize, Deserialize)]
-pub(crate) enum Item {
-    /// First in each file: whose it is.
+pub(crate) enum FileRecord {
+    /// The owner of the file; always the first record.
     Identity { id: ReplicaId, name: String },
-    /// Second in each file.
+    /// Always the second record.
     Snapshot(Snapshot),
-    /// All others.
+    /// A log record; all records after the snapshot.
     Record(Record),
 }
 
-/// Why a save failed.
+/// The error of a write or sync.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// The disk takes no more; what was there before is untouched and the save may be tried again.
-    #[error("{step} {path}: the disk is full")]
+    /// The disk is full; existing data is intact and the write may be retried.
+    #[error("{operation} {path}: the disk is full")]
     Full {
-        /// What was being done.
-        step: &'static str,
-        /// To which file.
+        /// The operation that failed.
+        operation: &'static str,
+        /// The file or folder.
         path: PathBuf,
     },
-    /// Nothing more is known of the file: the process must end.
-    #[error("{step} {path}: {source}")]
+    /// The state of the file is unknown; the process must exit.
+    #[error("{operation} {path}: {source}")]
     Fatal {
-        /// What was being done.
-        step: &'static str,
-        /// To which file.
+        /// The operation that failed.
+        operation: &'static str,
+        /// The file or folder.
         path: PathBuf,
-        /// What the system reported.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
 
-/// An open data folder.
+/// An open data folder with its current state file.
 #[derive(Debug)]
 pub struct Store<M = File> {
     pub(crate) folder: PathBuf,
@@ -57,17 +57,17 @@
 }
 
 impl<M: Medium> Store<M> {
-    /// A folder whose file is `file`, empty so far; for media other than the file system.
-    pub fn on(folder: &Path, id: ReplicaId, name: &str, file: M) -> Store<M> {
+    /// Returns a store that appends to the empty `file`, for tests with their own [`Medium`].
+    pub fn with_medium(folder: &Path, id: ReplicaId, name: &str, file: M) -> Store<M> {
         Store { folder: folder.to_owned(), id, name: name.to_owned(), generation: 1, file, length: 0 }
     }
 
-    /// What it writes to.
+    /// The current state file.
     pub fn medium(&self) -> &M {
         &self.file
     }
 
-    /// Bytes in the file.
+    /// Length of the current state file in bytes.
     pub fn length(&self) -> u64 {
         self.length
     }
@@ -78,17 +78,17 @@
     /// [`Error::Full`] leaves the file as it was; any other error is fatal.
     ///
     /// # Panics
-    /// When a record cannot be encoded, which its type rules out.
+    /// If a record cannot be encoded, which its type rules out.
     pub fn append(&mut self, records: &[Record]) -> Result<(), Error> {
         let mut bytes = Vec::new();
         for record in records {
-            push_item(&mut bytes, &Item::Record(record.clone()));
+            push_record(&mut bytes, &FileRecord::Record(record.clone()));
         }
         let path = state_path(&self.folder, self.generation);
         if let Err(source) = self.file.append(&bytes) {
-            let error = to_error("append to", &path, source);
+            let error = write_error("append to", &path, source);
             if matches!(error, Error::Full { .. }) {
-                self.file.cut(self.length).map_err(|source| fatal("cut", &path, source))?;
+                self.file.truncate(self.length).map_err(|source| fatal("truncate", &path, source))?;
             }
             return Err(error);
         }
@@ -99,30 +99,30 @@
     /// Returns once all appended records are durable.
     ///
     /// # Errors
-    /// Always fatal: after a failed sync the system may have dropped what it held.
+    /// Always fatal: after a failed sync the operating system may have dropped unwritten data.
     pub fn sync(&mut self) -> Result<(), Error> {
         let path = state_path(&self.folder, self.generation);
         self.file.sync().map_err(|source| fatal("sync", &path, source))
     }
 
-    /// Writes a new file of `snapshot` and `records`, durable on return, and drops the old one.
+    /// Replaces the state file by a new one with `snapshot` and `records`, which is durable on return.
     ///
     /// # Errors
     /// [`Error::Full`] leaves the old file in use; any other error is fatal.
     ///
     /// # Panics
-    /// When a record cannot be encoded, which its type rules out.
+    /// If a record cannot be encoded, which its type rules out.
     pub fn replace(&mut self, snapshot: &Snapshot, records: &[Record]) -> Result<(), Error> {
         let next = create::<M>(&self.folder, self.generation + 1, self.id, &self.name, snapshot, records)?;
         let old = state_path(&self.folder, self.generation);
         *self = next;
-        // A leftover is harmless: the highest number counts.
+        // A leftover file is harmless: `open` reads the highest generation.
         let _ = fs::remove_file(old);
         Ok(())
     }
 }
 
-/// Writes a whole new file and syncs it and the folder.
+/// Writes a new state file through a temporary file and a rename, and syncs the file and the folder.
 pub(crate) fn create<M: Medium>(
     folder: &Path,
     generation: u64,
@@ -132,23 +132,23 @@
     records: &[Record],
 ) -> Result<Store<M>, Error> {
     let mut bytes = Vec::new();
-    push_item(&mut bytes, &Item::Identity { id, name: name.to_owned() });
-    push_item(&mut bytes, &Item::Snapshot(snapshot.clone()));
+    push_record(&mut bytes, &FileRecord::Identity { id, name: name.to_owned() });
+    push_record(&mut bytes, &FileRecord::Snapshot(snapshot.clone()));
     for record in records {
-        push_item(&mut bytes, &Item::Record(record.clone()));
+        push_record(&mut bytes, &FileRecord::Record(record.clone()));
     }
     let path = state_path(folder, generation);
-    let draft = folder.join("draft");
-    let mut file = M::create(&draft).map_err(|source| to_error("create", &draft, source))?;
-    file.append(&bytes).map_err(|source| to_error("write", &draft, source))?;
-    file.sync().map_err(|source| fatal("sync", &draft, source))?;
-    fs::rename(&draft, &path).map_err(|source| fatal("rename to", &path, source))?;
+    let temporary = folder.join("draft");
+    let mut file = M::create(&temporary).map_err(|source| write_error("create", &temporary, source))?;
+    file.append(&bytes).map_err(|source| write_error("write", &temporary, source))?;
+    file.sync().map_err(|source| fatal("sync", &temporary, source))?;
+    fs::rename(&temporary, &path).map_err(|source| fatal("rename to", &path, source))?;
     sync_folder(folder)?;
     let file = M::reopen(&path).map_err(|source| fatal("reopen", &path, source))?;
     Ok(Store { folder: folder.to_owned(), id, name: name.to_owned(), generation, file, length: bytes.len() as u64 })
 }
 
-/// Makes names in `folder` durable.
+/// Makes the directory entries of `folder` durable.
 pub(crate) fn sync_folder(folder: &Path) -> Result<(), Error> {
     let opened = File::open(folder).map_err(|source| fatal("open", folder, source))?;
     opened.sync_all().map_err(|source| fatal("sync", folder, source))
@@ -158,19 +158,19 @@
     folder.join(format!("state-{generation}"))
 }
 
-fn push_item(bytes: &mut Vec<u8>, item: &Item) {
-    let payload = rmp_serde::to_vec(item).expect("records hold only plain data");
+fn push_record(bytes: &mut Vec<u8>, record: &FileRecord) {
+    let payload = rmp_serde::to_vec(record).expect("records are serialisable");
     frame::push(bytes, &payload);
 }
 
-fn fatal(step: &'static str, path: &Path, source: io::Error) -> Error {
-    Error::Fatal { step, path: path.to_owned(), source }
+fn fatal(operation: &'static str, path: &Path, source: io::Error) -> Error {
+    Error::Fatal { operation, path: path.to_owned(), source }
 }
 
-fn to_error(step: &'static str, path: &Path, source: io::Error) -> Error {
-    let full = [io::ErrorKind::StorageFull, io::ErrorKind::QuotaExceeded, io::ErrorKind::FileTooLarge];
-    if full.contains(&source.kind()) {
-        return Error::Full { step, path: path.to_owned() };
+fn write_error(operation: &'static str, path: &Path, source: io::Error) -> Error {
+    let disk_full_kinds = [io::ErrorKind::StorageFull, io::ErrorKind::QuotaExceeded, io::ErrorKind::FileTooLarge];
+    if disk_full_kinds.contains(&source.kind()) {
+        return Error::Full { operation, path: path.to_owned() };
     }
-    fatal(step, path, source)
+    fatal(operation, path, source)
 }
