--- a/crates/rudder-clock/src/lib.rs
+++ b/crates/rudder-clock/src/lib.rs
@@ -1,9 +1,9 @@
-//! Time that counts the suspension of a machine, and waits that end by it.
+//! A monotonic clock that includes time in system suspend, and timers that follow it.
 //!
-//! The steady clock stands still while a machine is suspended. A lease, a proof, a deadline or a pause that is measured by it
-//! would outlive by that much what others hold of it. [`Moment`] is taken from the boot-time clock instead, which goes on.
-//! Timers of the runtime follow the steady clock; [`sleep_until`] and [`timeout_at`] look again once [`note_wake`] has found
-//! that the machine was suspended.
+//! The monotonic clock behind [`std::time::Instant`] stops while the machine is suspended, so a lease or deadline measured
+//! by it would expire later on this machine than on its peers. [`Moment`] reads `CLOCK_BOOTTIME` instead, which advances
+//! during suspend. Tokio timers follow the monotonic clock; [`sleep_until`] and [`timeout_at`] re-check the deadline after
+//! [`note_wake`] is called.
 #![deny(missing_docs, unsafe_code)]
 
 mod moment;
@@ -11,5 +11,5 @@
 mod wait;
 
 pub use moment::Moment;
-pub use source::{Boot, Source, suspend};
+pub use source::{BootClock, Clock, suspend};
 pub use wait::{Elapsed, WakeWatch, note_wake, sleep_until, timeout_at};
--- a/crates/rudder-clock/src/moment.rs
+++ b/crates/rudder-clock/src/moment.rs
@@ -1,48 +1,48 @@
-//! A point in time.
+//! Points in time on the boot-time clock.
 
 use std::{
     ops::{Add, Sub},
     time::{Duration, Instant},
 };
 
-use crate::{Boot, Source};
+use crate::{BootClock, Clock};
 
-/// A point in time, by a clock that counts the suspension of the machine.
+/// A point in time on a clock that includes time in system suspend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Moment(Duration);
 
 impl Moment {
-    /// Now, by the machine's clock.
+    /// Returns the current time of the machine's boot-time clock.
     pub fn now() -> Moment {
-        Moment::of(&Boot)
+        Moment::from_clock(&BootClock)
     }
 
-    /// Now, by `source`.
-    pub fn of(source: &impl Source) -> Moment {
-        Moment(source.now())
+    /// Returns the current time of `clock`.
+    pub fn from_clock(clock: &impl Clock) -> Moment {
+        Moment(clock.now())
     }
 
-    /// Time that has passed since then; none where it lies ahead.
+    /// Returns the time elapsed since this moment, or zero if it is in the future.
     pub fn elapsed(self) -> Duration {
         Moment::now().saturating_duration_since(self)
     }
 
-    /// Time from `earlier` to this; none where that is the later one.
+    /// Returns the time from `earlier` to this moment, or zero if `earlier` is later.
     pub fn saturating_duration_since(self, earlier: Moment) -> Duration {
         self.0.saturating_sub(earlier.0)
     }
 
-    /// Time from `earlier` to this; `None` where that is the later one.
+    /// Returns the time from `earlier` to this moment, or `None` if `earlier` is later.
     pub fn checked_duration_since(self, earlier: Moment) -> Option<Duration> {
         self.0.checked_sub(earlier.0)
     }
 
-    /// The point `span` before this; `None` where the clock had not begun.
-    pub fn checked_sub(self, span: Duration) -> Option<Moment> {
-        self.0.checked_sub(span).map(Moment)
+    /// Returns the moment `duration` before this one, or `None` if that is before the origin of the clock.
+    pub fn checked_sub(self, duration: Duration) -> Option<Moment> {
+        self.0.checked_sub(duration).map(Moment)
     }
 
-    /// The point by the steady clock at which this comes if the machine is not suspended before.
+    /// Converts to the [`Instant`] at which this moment is reached, provided that the machine is not suspended before.
     pub fn to_instant(self) -> Instant {
         Instant::now() + self.saturating_duration_since(Moment::now())
     }
@@ -51,15 +51,15 @@
 impl Add<Duration> for Moment {
     type Output = Moment;
 
-    fn add(self, span: Duration) -> Moment {
-        Moment(self.0.saturating_add(span))
+    fn add(self, duration: Duration) -> Moment {
+        Moment(self.0.saturating_add(duration))
     }
 }
 
 impl Sub<Duration> for Moment {
     type Output = Moment;
 
-    fn sub(self, span: Duration) -> Moment {
-        Moment(self.0.saturating_sub(span))
+    fn sub(self, duration: Duration) -> Moment {
+        Moment(self.0.saturating_sub(duration))
     }
 }
--- a/crates/rudder-clock/src/source.rs
+++ b/crates/rudder-clock/src/source.rs
@@ -1,4 +1,4 @@
-//! Where the time comes from.
+//! The clock behind [`Moment`](crate::Moment).
 
 use std::{
     sync::atomic::{AtomicU64, Ordering},
@@ -7,29 +7,29 @@
 
 use nix::time::{ClockId, clock_gettime};
 
-/// A clock that counts the suspension of the machine.
-pub trait Source {
-    /// Time since a moment that stays the same while the process lives.
+/// A monotonic clock that includes time in system suspend.
+pub trait Clock {
+    /// Returns the time since an origin that is fixed for the lifetime of the process.
     fn now(&self) -> Duration;
 }
 
-/// The boot-time clock of the machine, with the suspensions of [`suspend`] on top.
+/// `CLOCK_BOOTTIME` plus the time added by [`suspend`].
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Boot;
+pub struct BootClock;
 
-/// Microseconds for which the process was told that its machine had been suspended.
-static SUSPENDED: AtomicU64 = AtomicU64::new(0);
+/// Total simulated time in suspend, in microseconds.
+static SIMULATED_SUSPEND_MICROS: AtomicU64 = AtomicU64::new(0);
 
-/// Lets time go on by `span` as a suspension of the machine would: for tests, which cannot suspend one.
-pub fn suspend(span: Duration) {
-    SUSPENDED.fetch_add(span.as_micros() as u64, Ordering::Relaxed);
+/// Simulates a suspension of the machine by advancing the clock by `duration`; for tests only.
+pub fn suspend(duration: Duration) {
+    SIMULATED_SUSPEND_MICROS.fetch_add(duration.as_micros() as u64, Ordering::Relaxed);
 }
 
-impl Source for Boot {
+impl Clock for BootClock {
     /// # Panics
-    /// Where the machine has no boot-time clock: every Linux since 2.6.39 has one.
+    /// If the system has no `CLOCK_BOOTTIME`, which Linux provides since 2.6.39.
     fn now(&self) -> Duration {
-        let time = clock_gettime(ClockId::CLOCK_BOOTTIME).expect("the machine has a boot-time clock");
-        Duration::from(time) + Duration::from_micros(SUSPENDED.load(Ordering::Relaxed))
+        let time = clock_gettime(ClockId::CLOCK_BOOTTIME).expect("CLOCK_BOOTTIME is available");
+        Duration::from(time) + Duration::from_micros(SIMULATED_SUSPEND_MICROS.load(Ordering::Relaxed))
     }
 }
--- a/crates/rudder-clock/src/wait.rs
+++ b/crates/rudder-clock/src/wait.rs
@@ -1,4 +1,4 @@
-//! Waits that end by a [`Moment`], also where the machine was suspended meanwhile.
+//! Timers with a [`Moment`] as the deadline, and detection of system suspend.
 
 use std::{
     future::Future,
@@ -9,65 +9,65 @@
 
 use crate::Moment;
 
-/// The two clocks may drift apart by this much without a suspension: both are read one after the other by a thread that may
-/// be set aside in between.
-const DRIFT: Duration = Duration::from_millis(200);
+/// Shortest difference between the clocks that counts as a suspension. The clocks are read one after the other, and the
+/// thread may be preempted in between.
+const MIN_SUSPENSION: Duration = Duration::from_millis(200);
 
-/// Wakes all waits of the process, so that they look at the time again.
-static WOKEN: Notify = Notify::const_new();
+/// Notifies all timers of the process to re-check their deadlines.
+static RECHECK: Notify = Notify::const_new();
 
-/// The time ran out.
+/// The deadline passed before the future completed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Elapsed;
 
-/// Tells when the machine was suspended: the boot-time clock has gone on further than the steady one.
+/// Detects system suspend by comparing the boot-time clock with the monotonic clock, which stops during suspend.
 #[derive(Clone, Copy, Debug)]
 pub struct WakeWatch {
-    steady: Instant,
+    monotonic: Instant,
     boot: Moment,
 }
 
 impl Default for WakeWatch {
     fn default() -> Self {
-        WakeWatch { steady: Instant::now(), boot: Moment::now() }
+        WakeWatch { monotonic: Instant::now(), boot: Moment::now() }
     }
 }
 
 impl WakeWatch {
-    /// For how long the machine was suspended since the last look, where it was.
+    /// Returns how long the machine was suspended since the previous call, or `None` if no suspension was detected.
     pub fn look(&mut self) -> Option<Duration> {
         let now = WakeWatch::default();
-        let steady = now.steady.saturating_duration_since(self.steady);
+        let monotonic = now.monotonic.saturating_duration_since(self.monotonic);
         let boot = now.boot.saturating_duration_since(self.boot);
         *self = now;
-        boot.checked_sub(steady).filter(|span| *span >= DRIFT)
+        boot.checked_sub(monotonic).filter(|suspension| *suspension >= MIN_SUSPENSION)
     }
 }
 
-/// Lets all waits look at the time again: the machine was suspended.
+/// Makes all pending timers re-check their deadlines; to be called after a suspension.
 pub fn note_wake() {
-    WOKEN.notify_waiters();
+    RECHECK.notify_waiters();
 }
 
-/// Waits until `until`.
-pub async fn sleep_until(until: Moment) {
-    while Moment::now() < until {
-        let woken = WOKEN.notified();
+/// Waits until `deadline`.
+pub async fn sleep_until(deadline: Moment) {
+    while Moment::now() < deadline {
+        let recheck = RECHECK.notified();
         tokio::select! {
-            () = tokio::time::sleep_until(until.to_instant().into()) => {}
-            () = woken => {}
+            () = tokio::time::sleep_until(deadline.to_instant().into()) => {}
+            () = recheck => {}
         }
     }
 }
 
-/// Waits for `future`, no longer than until `until`.
+/// Waits for `future` until `deadline`. A future that is ready completes even after the deadline.
 ///
 /// # Errors
-/// When the time ran out first.
-pub async fn timeout_at<F: Future>(until: Moment, future: F) -> Result<F::Output, Elapsed> {
+/// [`Elapsed`] if the deadline passes first.
+pub async fn timeout_at<F: Future>(deadline: Moment, future: F) -> Result<F::Output, Elapsed> {
     tokio::select! {
         biased;
         output = future => Ok(output),
-        () = sleep_until(until) => Err(Elapsed),
+        () = sleep_until(deadline) => Err(Elapsed),
     }
 }
--- a/crates/rudder-clock/tests/wait.rs
+++ b/crates/rudder-clock/tests/wait.rs
@@ -1,27 +1,29 @@
-//! Waits end by the time that counts suspensions. One test, since a suspension is the whole process's.
+//! Timers must expire if their deadline passes during a suspension.
+//!
+//! This is a single test because a simulated suspension affects the whole process.
 
 use std::time::{Duration, Instant};
 
 use rudder_clock::{Elapsed, Moment, WakeWatch, note_wake, sleep_until, suspend, timeout_at};
 
-const LONG: Duration = Duration::from_secs(600);
+const SUSPENSION: Duration = Duration::from_secs(600);
 
 #[tokio::test]
-async fn waits_end_when_their_time_came_during_a_suspension() {
-    let (began, steady) = (Moment::now(), Instant::now());
+async fn timers_expire_when_their_deadline_passes_during_a_suspension() {
+    let (start, monotonic_start) = (Moment::now(), Instant::now());
     let mut watch = WakeWatch::default();
     assert_eq!(watch.look(), None);
-    let slept = tokio::spawn(sleep_until(began + LONG));
-    let waited = tokio::spawn(timeout_at(began + LONG, std::future::pending::<()>()));
+    let sleep = tokio::spawn(sleep_until(start + SUSPENSION));
+    let timeout = tokio::spawn(timeout_at(start + SUSPENSION, std::future::pending::<()>()));
     tokio::time::sleep(Duration::from_millis(20)).await;
-    suspend(LONG);
-    assert!(began.elapsed() >= LONG);
-    let span = watch.look().expect("it was suspended");
-    assert!(span.abs_diff(LONG) < Duration::from_millis(100), "{span:?}");
-    assert_eq!(watch.look(), None, "once");
+    suspend(SUSPENSION);
+    assert!(start.elapsed() >= SUSPENSION);
+    let measured = watch.look().expect("a suspension is detected");
+    assert!(measured.abs_diff(SUSPENSION) < Duration::from_millis(100), "{measured:?}");
+    assert_eq!(watch.look(), None, "a suspension is reported once");
     note_wake();
-    slept.await.expect("it ends");
-    assert_eq!(waited.await.expect("it ends"), Err(Elapsed));
-    assert_eq!(timeout_at(began, async { 7 }).await, Ok(7), "what is ready is taken, also late");
-    assert!(steady.elapsed() < Duration::from_secs(60));
+    sleep.await.expect("the task finishes");
+    assert_eq!(timeout.await.expect("the task finishes"), Err(Elapsed));
+    assert_eq!(timeout_at(start, async { 7 }).await, Ok(7), "a ready future completes after the deadline");
+    assert!(monotonic_start.elapsed() < Duration::from_secs(60));
 }
