--- a/crates/rudder-clock/src/lib.rs
+++ b/crates/rudder-clock/src/lib.rs
@@ -11,5 +11,5 @@
 mod wait;
 
 pub use moment::Moment;
-pub use source::{BootClock, Clock, suspend};
+pub use source::{BootClock, Clock, simulate_suspension};
 pub use wait::{Elapsed, WakeWatch, note_wake, sleep_until, timeout_at};
--- a/crates/rudder-clock/src/source.rs
+++ b/crates/rudder-clock/src/source.rs
@@ -13,7 +13,7 @@
     fn now(&self) -> Duration;
 }
 
-/// `CLOCK_BOOTTIME` plus the time added by [`suspend`].
+/// `CLOCK_BOOTTIME` plus the time added by [`simulate_suspension`].
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BootClock;
 
@@ -21,7 +21,7 @@
 static SIMULATED_SUSPEND_MICROS: AtomicU64 = AtomicU64::new(0);
 
 /// Simulates a suspension of the machine by advancing the clock by `duration`; for tests only.
-pub fn suspend(duration: Duration) {
+pub fn simulate_suspension(duration: Duration) {
     SIMULATED_SUSPEND_MICROS.fetch_add(duration.as_micros() as u64, Ordering::Relaxed);
 }
 
--- a/crates/rudder-clock/tests/wait.rs
+++ b/crates/rudder-clock/tests/wait.rs
@@ -4,7 +4,7 @@
 
 use std::time::{Duration, Instant};
 
-use rudder_clock::{Elapsed, Moment, WakeWatch, note_wake, sleep_until, suspend, timeout_at};
+use rudder_clock::{Elapsed, Moment, WakeWatch, note_wake, simulate_suspension, sleep_until, timeout_at};
 
 const SUSPENSION: Duration = Duration::from_secs(600);
 
@@ -16,7 +16,7 @@
     let sleep = tokio::spawn(sleep_until(start + SUSPENSION));
     let timeout = tokio::spawn(timeout_at(start + SUSPENSION, std::future::pending::<()>()));
     tokio::time::sleep(Duration::from_millis(20)).await;
-    suspend(SUSPENSION);
+    simulate_suspension(SUSPENSION);
     assert!(start.elapsed() >= SUSPENSION);
     let measured = watch.look().expect("a suspension is detected");
     assert!(measured.abs_diff(SUSPENSION) < Duration::from_millis(100), "{measured:?}");
