--- a/crates/rudder-gateway/src/plan.rs
+++ b/crates/rudder-gateway/src/plan.rs
@@ -178,7 +178,7 @@
         prefix: String,
     },
     /// A route refers to a service that is not defined.
-    #[error("route {route} refers to the unknown service {service}")]
+    #[error("route {route} names the unknown service {service}")]
     UnknownService {
         /// The route.
         route: String,
@@ -186,10 +186,10 @@
         service: String,
     },
     /// The weights of a route's services are all zero.
-    #[error("the weights of route {0} sum to zero")]
+    #[error("the weights of route {0} add up to nothing")]
     NoWeight(String),
     /// The timeout of a route is zero.
-    #[error("route {0} has a timeout of zero")]
+    #[error("route {0} has a time-out of nothing")]
     NoTimeout(String),
     /// The autoscaling settings of a service are invalid.
     #[error("service {service}: {key}: {why}")]
