--- a/crates/rudder-core/src/duties/mod.rs
+++ b/crates/rudder-core/src/duties/mod.rs
@@ -5,8 +5,8 @@
 //! at most one leader and is durable at a quorum, so a token is never used by two instances and only increases. The thread
 //! that sends a call checks the lease again right before it ([`Effect::Call`]), so that a paused holder sends nothing.
 //!
-//! - [`intake`]: counts of requests to be committed to the log, and the closing of windows;
-//! - [`reports`]: the report of each closed window, until it is acknowledged;
+//! - `intake`: counts of requests to be committed to the log, and the closing of windows;
+//! - `reports`: the report of each closed window, until it is acknowledged;
 //! - [`scaling`]: orders that set the number of engines.
 
 pub(crate) mod intake;
--- a/crates/rudder-core/src/lives.rs
+++ b/crates/rudder-core/src/lives.rs
@@ -3,7 +3,7 @@
 //! An endpoint may restart under the same name. Its lives are ordered by start time, by its own clock: the later one
 //! replaces the earlier, whose late heartbeats are ignored. If the clock stepped back between two starts, the later life has
 //! the earlier start time. Such a life replaces the other once that one has become silent while its own heartbeats go on for
-//! [`MIN_CANDIDACY`]; delayed heartbeats would arrive in a burst.
+//! `MIN_CANDIDACY`; delayed heartbeats would arrive in a burst.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
--- a/crates/rudder-core/src/upstream.rs
+++ b/crates/rudder-core/src/upstream.rs
@@ -1,7 +1,7 @@
 //! Schedules watch requests and chooses their target: the leader, or a relay of this instance's hall.
 //!
 //! A request is due one interval after the last one, once that has been answered. A request that is unanswered for
-//! [`TIMEOUT_INTERVALS`] intervals times out, and the next one goes to another instance.
+//! `TIMEOUT_INTERVALS` intervals times out, and the next one goes to another instance.
 
 use std::{collections::BTreeMap, time::Duration};
 
--- a/crates/rudder-core/src/watchers.rs
+++ b/crates/rudder-core/src/watchers.rs
@@ -276,7 +276,7 @@
         self.loads.calls_at(tag)
     }
 
-    /// Notifies all watchers but `except` of an update, delayed by up to [`NOTIFY_INTERVAL`] after the last
+    /// Notifies all watchers but `except` of an update, delayed by up to `NOTIFY_INTERVAL` after the last
     /// notification.
     pub fn notify(&mut self, now: Duration, except: Option<&InstanceId>, out: &mut Vec<Effect>) {
         if self.notified_at.is_some_and(|at| now < at + NOTIFY_INTERVAL) {
--- a/crates/rudder-gateway/src/buffers.rs
+++ b/crates/rudder-gateway/src/buffers.rs
@@ -141,7 +141,7 @@
     /// Waits until another `bytes` fit, and reserves them.
     ///
     /// # Errors
-    /// When they do not fit after [`MAX_CHECKS`] checks.
+    /// When they do not fit after `MAX_CHECKS` checks.
     pub async fn grow(&mut self, bytes: usize) -> Result<(), BodyError> {
         for _ in 0..MAX_CHECKS {
             let quota = self.quota.clone();
--- a/crates/rudder-gateway/src/call/mod.rs
+++ b/crates/rudder-gateway/src/call/mod.rs
@@ -7,7 +7,7 @@
 //! - [`admit`]: reads a request and checks its route and key;
 //! - [`send`]: the retry loop over endpoints;
 //! - [`checks`]: whether a request may be sent or retried;
-//! - [`attempt`]: one attempt, from the choice of an endpoint to the head of its answer;
+//! - [`attempt`](mod@attempt): one attempt, from the choice of an endpoint to the head of its answer;
 //! - [`rate_limit`]: permits for endpoints that have a rate limit;
 //! - [`copies`]: resumes a stream from a copy of its memory after its endpoint has terminated;
 //! - [`termination`]: endpoints that terminate during a request;
--- a/crates/rudder-gateway/src/choose/mod.rs
+++ b/crates/rudder-gateway/src/choose/mod.rs
@@ -1,6 +1,6 @@
 //! Choice of the endpoint for one request.
 //!
-//! Plain services use [`plain`] and engines [`engine`]. Both choose from [`candidates`] in constant time, except that
+//! Plain services use `plain` and engines `engine`. Both choose from `candidates` in constant time, except that
 //! ranking the endpoints for a session is linear in their number.
 
 mod candidates;
--- a/crates/rudder-gateway/src/lib.rs
+++ b/crates/rudder-gateway/src/lib.rs
@@ -1,6 +1,6 @@
 //! The gateway of an instance, on tokio and hyper.
 //!
-//! The traffic thread ([`run`]) serves all sockets: callers, operators, endpoints' heartbeats and other instances. The
+//! The traffic thread ([`run`](mod@run)) serves all sockets: callers, operators, endpoints' heartbeats and other instances. The
 //! control thread ([`driver`]) owns the reducer, and a third thread the disk. A [`Dialect`] defines the formats on the
 //! wire: it converts heads and bodies to typed messages and back.
 //!
--- a/crates/rudder-gateway/src/limits.rs
+++ b/crates/rudder-gateway/src/limits.rs
@@ -163,7 +163,7 @@
         self.limits.get(&id::endpoint_tag(endpoint)).filter(|limit| limit.rate.is_some())
     }
 
-    /// Number of permits to request: as many as were used in the last [`PERMIT_HORIZON`], and at least one.
+    /// Number of permits to request: as many as were used in the last `PERMIT_HORIZON`, and at least one.
     pub fn wanted(&self, endpoint: &str, now: Moment) -> u32 {
         let is_recent = |used: &&Moment| now < **used + PERMIT_HORIZON;
         let used = self.limited(endpoint).map_or(0, |limit| limit.used.iter().filter(is_recent).count());
--- a/crates/rudder-gateway/src/shared.rs
+++ b/crates/rudder-gateway/src/shared.rs
@@ -471,7 +471,7 @@
         }
     }
 
-    /// Addresses of instances for a caller: those in its hall if there are at least [`MIN_NEAR_INSTANCES`], else those
+    /// Addresses of instances for a caller: those in its hall if there are at least `MIN_NEAR_INSTANCES`, else those
     /// in its region, else those in the regions that all routes of its host are bound to, else those in its hall, else
     /// all.
     pub fn entries_for(&self, query: &EntriesQuery) -> Vec<Arc<str>> {
